--- a/crates/clementinepond_dispatch/src/budget/mod.rs
+++ b/crates/clementinepond_dispatch/src/budget/mod.rs
@@ -9,7 +9,7 @@
 
 /// Share of the stated budget that a VM uses; the rest covers clocks and
 /// messages that cross a window's edge.
-const USED_SHARE: f64 = 0.8;
+const BUDGET_SAFETY_SHARE: f64 = 0.8;
 
 /// Budget of one VM for one service.
 #[derive(Debug, Clone)]
@@ -18,7 +18,7 @@
     allowance: f64,
     window: TimeSpan,
     requests: VecDeque<LocalTime>,
-    repeats: VecDeque<LocalTime>,
+    retries: VecDeque<LocalTime>,
 }
 
 impl RetryBudget {
@@ -31,25 +31,25 @@
             allowance,
             window,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     /// Counts a request of a caller.
-    pub fn note_request(&mut self, now: LocalTime) {
+    pub fn record_request(&mut self, now: LocalTime) {
         self.requests.push_back(now);
         self.forget(now);
     }
 
     /// Takes one repeat, if the budget allows it with `vms` VMs in the fleet.
-    pub fn take_repeat(&mut self, vms: usize, now: LocalTime) -> bool {
+    pub fn take_retry(&mut self, vms: usize, now: LocalTime) -> bool {
         self.forget(now);
         let share = self.allowance / vms.max(1) as f64;
-        let allowed = USED_SHARE * (self.ratio * self.requests.len() as f64 + share);
-        if (self.repeats.len() + 1) as f64 > allowed {
+        let allowed = BUDGET_SAFETY_SHARE * (self.ratio * self.requests.len() as f64 + share);
+        if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        self.repeats.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
@@ -59,8 +59,8 @@
         while self.requests.front().is_some_and(is_old) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(is_old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(is_old) {
+            self.retries.pop_front();
         }
     }
 }
--- a/crates/clementinepond_dispatch/src/directory/mod.rs
+++ b/crates/clementinepond_dispatch/src/directory/mod.rs
@@ -16,12 +16,12 @@
 
 /// Time for which an endpoint that is no longer listed stays usable; below the
 /// two seconds after which the platform wants a leaving endpoint left alone.
-const MISSING_GRACE: TimeSpan = TimeSpan::from_millis(1_200);
+const UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(1_200);
 /// The same after the store was away: entries are back two seconds after its
 /// return, or their endpoints are gone.
-const RETURN_GRACE: TimeSpan = TimeSpan::from_millis(2_200);
+const OUTAGE_UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(2_200);
 /// Time after an outage of the store during which lapses are expected.
-const RETURN_WINDOW: TimeSpan = TimeSpan::from_secs(3);
+const OUTAGE_RECOVERY_WINDOW: TimeSpan = TimeSpan::from_secs(3);
 
 /// Whether an endpoint is listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// It is in the list.
     Listed,
     /// It has left the list and stays usable until this moment.
-    Missing(LocalTime),
+    Unlisted(LocalTime),
 }
 
 /// One endpoint that the VM knows of.
@@ -119,21 +119,21 @@
     pub fn remove(&mut self, id: &EndpointId, now: LocalTime) {
         let returned = self
             .store_returned_at
-            .is_some_and(|at| now.since(at) < RETURN_WINDOW);
+            .is_some_and(|at| now.since(at) < OUTAGE_RECOVERY_WINDOW);
         let grace = if returned {
-            RETURN_GRACE
+            OUTAGE_UNLISTED_GRACE
         } else {
-            MISSING_GRACE
+            UNLISTED_GRACE
         };
         if let Some(known) = self.endpoints.get_mut(id)
             && known.presence == Presence::Listed
         {
-            known.presence = Presence::Missing(now + grace);
+            known.presence = Presence::Unlisted(now + grace);
         }
     }
 
     /// Notes that the store answers again after an outage.
-    pub fn note_store_return(&mut self, now: LocalTime) {
+    pub fn record_store_return(&mut self, now: LocalTime) {
         self.store_returned_at = Some(now);
     }
 
@@ -143,17 +143,17 @@
             .endpoints
             .iter()
             .filter(|(_, known)| match known.presence {
-                Presence::Missing(until) => now >= until,
+                Presence::Unlisted(until) => now >= until,
                 Presence::Listed => known.leaves_at.is_some_and(|at| now >= at),
             })
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
-            let is_missing = self
+            let is_unlisted = self
                 .endpoints
                 .get(id)
                 .is_some_and(|known| known.presence != Presence::Listed);
-            if is_missing {
+            if is_unlisted {
                 self.endpoints.remove(id);
             }
         }
@@ -195,7 +195,7 @@
     pub fn is_usable(&self, now: LocalTime) -> bool {
         let is_there = match self.presence {
             Presence::Listed => true,
-            Presence::Missing(until) => now < until,
+            Presence::Unlisted(until) => now < until,
         };
         let is_leaving = self.leaves_at.is_some() || self.entry.phase == EndpointPhase::Draining;
         is_there && !is_leaving
--- a/crates/clementinepond_dispatch/src/fleet/account.rs
+++ b/crates/clementinepond_dispatch/src/fleet/account.rs
@@ -23,7 +23,7 @@
     /// What rate and burst count.
     pub unit: QuotaUnit,
     /// Cost of a request that declares no tokens.
-    pub plain_cost: u64,
+    pub default_cost: u64,
     /// Units a second over the whole fleet; 0 means no limit.
     pub rate_per_s: f64,
     /// Units that may be spent at once over the whole fleet.
--- a/crates/clementinepond_dispatch/src/fleet/mod.rs
+++ b/crates/clementinepond_dispatch/src/fleet/mod.rs
@@ -10,6 +10,6 @@
 pub use account::{AccountPolicy, QuotaUnit};
 pub use endpoint::{EndpointEntry, EndpointPhase, HostedModel, InstanceLoad};
 pub use engine::{EnginePolicy, ModelProfile};
-pub use policy::{CallerLimits, FleetPolicy, RepeatRule, RoutePolicy, RouteTarget, ServicePolicy};
-pub use request::{ModelTarget, PromptPart, RequestProfile, TokenDemand};
+pub use policy::{CallerLimits, FleetPolicy, RetryRule, RoutePolicy, RouteTarget, ServicePolicy};
+pub use request::{ModelTarget, PromptBlock, RequestProfile, TokenDemand};
 pub use service_id::ServiceId;
--- a/crates/clementinepond_dispatch/src/fleet/policy.rs
+++ b/crates/clementinepond_dispatch/src/fleet/policy.rs
@@ -5,7 +5,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RepeatRule {
+pub enum RetryRule {
     /// Any number of runs is harmless.
     Idempotent,
     /// At most one run.
@@ -16,10 +16,10 @@
     ResumableStream,
 }
 
-impl RepeatRule {
+impl RetryRule {
     /// Tells whether a second run is allowed.
     #[must_use]
-    pub const fn may_repeat(self) -> bool {
+    pub const fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
@@ -49,7 +49,7 @@
     /// Start of the paths that belong to the route.
     pub path_prefix: Box<str>,
     /// Whether requests may run more than once.
-    pub repeat: RepeatRule,
+    pub retry_rule: RetryRule,
     /// Longest time that a caller is kept waiting.
     pub timeout: TimeSpan,
     /// Time within which an answer (a stream: its first event) is on time.
--- a/crates/clementinepond_dispatch/src/fleet/request.rs
+++ b/crates/clementinepond_dispatch/src/fleet/request.rs
@@ -31,7 +31,7 @@
 
 /// One part of a prompt; equal identities stand for equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PromptPart {
+pub struct PromptBlock {
     /// Identity.
     pub id: u64,
     /// Length in tokens.
@@ -44,13 +44,13 @@
     /// Identity of the caller's attempt.
     pub id: Option<RequestId>,
     /// How long the caller waits, counted from the arrival.
-    pub patience: Option<TimeSpan>,
+    pub timeout: Option<TimeSpan>,
     /// Model to run.
     pub target: Option<ModelTarget>,
     /// Tokens declared.
     pub tokens: Option<TokenDemand>,
     /// Parts of the prompt in order, from the most widely shared to its own.
-    pub parts: Vec<PromptPart>,
+    pub blocks: Vec<PromptBlock>,
     /// Event after which a stream resumes.
     pub resume_after: Option<u64>,
     /// Caller's estimate of the output, in tokens.
--- a/crates/clementinepond_dispatch/src/health/endpoint_health.rs
+++ b/crates/clementinepond_dispatch/src/health/endpoint_health.rs
@@ -3,13 +3,13 @@
 use clementinepond_types::{LocalTime, TimeSpan};
 
 /// Half-life of an outcome's weight, in seconds.
-const MEMORY_HALF_LIFE_S: f64 = 3.0;
+const OUTCOME_HALF_LIFE_S: f64 = 3.0;
 /// First span for which a failing endpoint is set aside.
-const FIRST_EJECTION: TimeSpan = TimeSpan::from_millis(800);
+const MIN_EJECTION_DURATION: TimeSpan = TimeSpan::from_millis(800);
 /// Longest span for which a failing endpoint is set aside.
-const LONGEST_EJECTION: TimeSpan = TimeSpan::from_secs(4);
+const MAX_EJECTION_DURATION: TimeSpan = TimeSpan::from_secs(4);
 /// Calm time after which an earlier ejection no longer lengthens the next.
-const RELAPSE_WINDOW: TimeSpan = TimeSpan::from_secs(6);
+const EJECTION_RESET_TIME: TimeSpan = TimeSpan::from_secs(6);
 
 /// How one request fared at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     ejection: TimeSpan,
     is_on_trial: bool,
     trials_running: u32,
-    unreachable_in_row: u32,
+    consecutive_unreachable: u32,
 }
 
 impl Default for EndpointHealth {
@@ -49,19 +49,19 @@
             ejection: TimeSpan::ZERO,
             is_on_trial: false,
             trials_running: 0,
-            unreachable_in_row: 0,
+            consecutive_unreachable: 0,
         }
     }
 }
 
 impl EndpointHealth {
     /// Counts an outcome.
-    pub fn note(&mut self, outcome: EndpointOutcome, now: LocalTime) {
-        self.fade(now);
+    pub fn record(&mut self, outcome: EndpointOutcome, now: LocalTime) {
+        self.decay(now);
         match outcome {
             EndpointOutcome::Success => {
                 self.successes += 1.0;
-                self.unreachable_in_row = 0;
+                self.consecutive_unreachable = 0;
                 if self.is_on_trial {
                     self.is_on_trial = false;
                     self.failures = 0.0;
@@ -71,7 +71,7 @@
             EndpointOutcome::Refusal => self.failures += 0.5,
             EndpointOutcome::Unreachable => {
                 self.failures += 1.0;
-                self.unreachable_in_row += 1;
+                self.consecutive_unreachable += 1;
             }
         }
         if self.is_on_trial && outcome != EndpointOutcome::Success {
@@ -81,11 +81,11 @@
 
     /// Sets the endpoint aside.
     pub fn eject(&mut self, now: LocalTime) {
-        let calm = now.since(self.ejected_until) > RELAPSE_WINDOW;
+        let calm = now.since(self.ejected_until) > EJECTION_RESET_TIME;
         let span = if calm || self.ejection == TimeSpan::ZERO {
-            FIRST_EJECTION
+            MIN_EJECTION_DURATION
         } else {
-            self.ejection.fraction(2, 1).min(LONGEST_EJECTION)
+            self.ejection.fraction(2, 1).min(MAX_EJECTION_DURATION)
         };
         self.ejection = span;
         self.ejected_until = now + span;
@@ -94,7 +94,7 @@
 
     /// Returns the weight of failures and of all outcomes.
     pub fn rates(&mut self, now: LocalTime) -> (f64, f64) {
-        self.fade(now);
+        self.decay(now);
         (self.failures, self.failures + self.successes)
     }
 
@@ -112,13 +112,13 @@
 
     /// Returns the connections refused in a row.
     #[must_use]
-    pub const fn unreachable_in_row(&self) -> u32 {
-        self.unreachable_in_row
+    pub const fn consecutive_unreachable(&self) -> u32 {
+        self.consecutive_unreachable
     }
 
     /// Counts a request sent on trial; false when one is running already.
     #[must_use]
-    pub const fn may_try(&self) -> bool {
+    pub const fn has_no_running_trial(&self) -> bool {
         self.trials_running == 0
     }
 
@@ -134,10 +134,10 @@
         self.trials_running = self.trials_running.saturating_sub(1);
     }
 
-    fn fade(&mut self, now: LocalTime) {
+    fn decay(&mut self, now: LocalTime) {
         let seconds = now.since(self.updated_at).micros() as f64 / 1e6;
         self.updated_at = now;
-        let factor = 0.5_f64.powf(seconds / MEMORY_HALF_LIFE_S);
+        let factor = 0.5_f64.powf(seconds / OUTCOME_HALF_LIFE_S);
         self.successes *= factor;
         self.failures *= factor;
     }
--- a/crates/clementinepond_dispatch/src/health/health_table.rs
+++ b/crates/clementinepond_dispatch/src/health/health_table.rs
@@ -5,11 +5,11 @@
 use fnv::FnvHashMap;
 
 /// Weight of failures below which an endpoint is never set aside.
-const FAILURE_FLOOR: f64 = 1.6;
+const MIN_FAILURE_WEIGHT: f64 = 1.6;
 /// Share of failures above which an endpoint is suspect.
-const FAILURE_SHARE: f64 = 0.3;
+const MIN_FAILURE_SHARE: f64 = 0.3;
 /// How many times the peers' share of failures an endpoint must show.
-const PEER_FACTOR: f64 = 2.0;
+const PEER_FAILURE_FACTOR: f64 = 2.0;
 
 /// How far an endpoint is trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     /// Counts an outcome; returns true when the endpoint is now set aside.
     ///
     /// `peers` are the other endpoints of the same service.
-    pub fn note(
+    pub fn record(
         &mut self,
         id: &EndpointId,
         outcome: EndpointOutcome,
@@ -41,17 +41,17 @@
     ) -> bool {
         let health = self.endpoints.entry(id.clone()).or_default();
         let was_ejected = health.is_ejected(now);
-        health.note(outcome, now);
+        health.record(outcome, now);
         if health.is_ejected(now) {
             return !was_ejected;
         }
         let is_unreachable = outcome == EndpointOutcome::Unreachable;
         let (failures, total) = health.rates(now);
         let share = failures / total.max(1.0);
-        if !is_unreachable && (failures < FAILURE_FLOOR || share < FAILURE_SHARE) {
+        if !is_unreachable && (failures < MIN_FAILURE_WEIGHT || share < MIN_FAILURE_SHARE) {
             return false;
         }
-        if !is_unreachable && share < PEER_FACTOR * self.peer_share(id, peers, now) {
+        if !is_unreachable && share < PEER_FAILURE_FACTOR * self.peer_share(id, peers, now) {
             return false;
         }
         if let Some(health) = self.endpoints.get_mut(id) {
@@ -73,7 +73,9 @@
     pub fn grade(&self, id: &EndpointId, now: LocalTime) -> HealthGrade {
         match self.endpoints.get(id) {
             Some(health) if health.is_ejected(now) => HealthGrade::Ejected,
-            Some(health) if health.is_on_trial() && !health.may_try() => HealthGrade::Ejected,
+            Some(health) if health.is_on_trial() && !health.has_no_running_trial() => {
+                HealthGrade::Ejected
+            }
             Some(health) if health.is_on_trial() => HealthGrade::Trial,
             _ => HealthGrade::Good,
         }
--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -10,18 +10,18 @@
 use serde::{Deserialize, Serialize};
 
 /// Time for which one renewal gives authority.
-pub const SPAN: TimeSpan = TimeSpan::from_millis(1_400);
+pub const LEASE_DURATION: TimeSpan = TimeSpan::from_millis(1_400);
 /// Part of the span at whose end the holder already stops, for the orders on
 /// their way.
 const STOP_MARGIN: TimeSpan = TimeSpan::from_millis(300);
 /// Time between renewals.
-const RENEWAL: TimeSpan = TimeSpan::from_millis(450);
+const RENEWAL_INTERVAL: TimeSpan = TimeSpan::from_millis(450);
 /// Time between two looks at a lease that another VM may still hold.
-const LOOK: TimeSpan = TimeSpan::from_millis(100);
+const POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 /// Pause after a failed call.
-const RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(250);
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(250);
 /// Extra time over the endpoints' own gap between two holders.
-const GAP_MARGIN: TimeSpan = TimeSpan::from_millis(600);
+const ORDER_GAP_MARGIN: TimeSpan = TimeSpan::from_millis(600);
 
 /// What the object holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,10 +49,10 @@
 /// What can happen.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Time passed; `holder_heard` tells whether a peer reports that it holds the duty.
+    /// Time passed; `holder_live` tells whether a peer reports that it holds the duty.
     Tick {
         /// Whether a holder was heard.
-        holder_heard: bool,
+        holder_live: bool,
         /// Head start that this VM leaves to the others once the holder falls silent.
         head_start: TimeSpan,
     },
@@ -64,7 +64,7 @@
         revision: u64,
     },
     /// A VM says that its authority is over and when it gave its last order.
-    Lapsed {
+    Expired {
         /// The VM.
         vm: VmId,
         /// Moment of its last order.
@@ -114,23 +114,23 @@
 
 /// State of one VM towards the lease.
 #[derive(Debug)]
-pub struct DutyLease {
+pub struct PlacementLease {
     me: VmId,
     incarnation: u64,
     update: u64,
     order_gap: TimeSpan,
     held: Option<HeldLease>,
-    seen: Option<(StoredLease, LocalTime)>,
+    last_read: Option<(StoredLease, LocalTime)>,
     /// VM that said its authority is over, its last order, and when that was heard.
-    lapsed: Option<(VmId, LocalTime, LocalTime)>,
+    expired: Option<(VmId, LocalTime, LocalTime)>,
     /// Last order of the holder from whom this VM is about to take over.
-    last_order_before: Option<LocalTime>,
-    calling_since: Option<LocalTime>,
+    previous_last_order: Option<LocalTime>,
+    call_started_at: Option<LocalTime>,
     next_call: LocalTime,
     is_released: bool,
 }
 
-impl DutyLease {
+impl PlacementLease {
     /// Makes the state; `order_gap` is the time within which an endpoint must
     /// not see orders of two holders, `stagger` the head start left to others.
     #[must_use]
@@ -147,10 +147,10 @@
             update: 0,
             order_gap,
             held: None,
-            seen: None,
-            lapsed: None,
-            last_order_before: None,
-            calling_since: None,
+            last_read: None,
+            expired: None,
+            previous_last_order: None,
+            call_started_at: None,
             next_call: now + stagger,
             is_released: false,
         }
@@ -178,28 +178,28 @@
     pub fn reduce(&mut self, event: LeaseEvent, now: LocalTime) -> Vec<LeaseEffect> {
         match event {
             LeaseEvent::Tick {
-                holder_heard,
+                holder_live,
                 head_start,
-            } => self.tick(holder_heard, head_start, now),
+            } => self.tick(holder_live, head_start, now),
             LeaseEvent::Read(stored) => {
-                self.calling_since = None;
-                self.note_read(stored, now)
+                self.call_started_at = None;
+                self.record_read(stored, now)
             }
-            LeaseEvent::Written { revision } => self.note_written(revision, now),
-            LeaseEvent::Lapsed { vm, last_order } => {
-                self.lapsed = Some((vm, last_order, now));
+            LeaseEvent::Written { revision } => self.record_write(revision, now),
+            LeaseEvent::Expired { vm, last_order } => {
+                self.expired = Some((vm, last_order, now));
                 Vec::new()
             }
             LeaseEvent::Conflict(stored) => {
-                self.calling_since = None;
-                self.next_call = now + RETRY_PAUSE;
-                self.note_read(stored, now)
+                self.call_started_at = None;
+                self.next_call = now + RETRY_DELAY;
+                self.record_read(stored, now)
             }
             LeaseEvent::Unknown => {
-                self.calling_since = None;
-                self.next_call = now + RETRY_PAUSE;
+                self.call_started_at = None;
+                self.next_call = now + RETRY_DELAY;
                 // Reading shows whether the update took effect.
-                self.seen = None;
+                self.last_read = None;
                 Vec::new()
             }
             LeaseEvent::Release => self.release(),
@@ -208,7 +208,7 @@
 
     fn tick(
         &mut self,
-        holder_heard: bool,
+        holder_live: bool,
         head_start: TimeSpan,
         now: LocalTime,
     ) -> Vec<LeaseEffect> {
@@ -219,35 +219,35 @@
             .is_some_and(|held| now >= held.valid_until)
         {
             self.held = None;
-            self.seen = None;
+            self.last_read = None;
             effects.push(LeaseEffect::Lost);
         }
-        if self.is_released || self.calling_since.is_some() || now < self.next_call {
+        if self.is_released || self.call_started_at.is_some() || now < self.next_call {
             return effects;
         }
         if let Some(held) = &self.held {
             let expected = held.revision;
             let previous = held.previous.clone().filter(|_| now < held.order_from);
-            let write = if self.seen.is_none() {
+            let write = if self.last_read.is_none() {
                 LeaseEffect::Read
             } else {
                 self.write(expected, previous)
             };
-            self.calling_since = Some(now);
-            self.next_call = now + RENEWAL;
+            self.call_started_at = Some(now);
+            self.next_call = now + RENEWAL_INTERVAL;
             effects.push(write);
-        } else if !holder_heard {
-            effects.extend(self.pursue(now));
+        } else if !holder_live {
+            effects.extend(self.try_acquire(now));
         } else {
-            self.seen = None;
+            self.last_read = None;
             self.next_call = now + head_start;
         }
         effects
     }
 
     /// Works towards the lease while no holder is heard.
-    fn pursue(&mut self, now: LocalTime) -> Option<LeaseEffect> {
-        let effect = match &self.seen {
+    fn try_acquire(&mut self, now: LocalTime) -> Option<LeaseEffect> {
+        let effect = match &self.last_read {
             None => LeaseEffect::Read,
             Some((stored, since)) => {
                 let holder = stored
@@ -258,13 +258,13 @@
                 let is_free = holder.is_none() || is_mine;
                 // A holder that has said since the reading that its authority
                 // is over cannot have renewed it, or the update will fail.
-                let has_lapsed = self.lapsed.as_ref().is_some_and(|(vm, _, heard_at)| {
-                    holder.as_ref() == Some(vm) && heard_at > since
+                let has_expired = self.expired.as_ref().is_some_and(|(vm, _, last_seen)| {
+                    holder.as_ref() == Some(vm) && last_seen > since
                 });
-                let heard = self.lapsed.as_ref().map(|(_, last_order, _)| *last_order);
-                self.last_order_before = heard.filter(|_| has_lapsed);
-                if !is_free && !has_lapsed && now.since(*since) < SPAN {
-                    self.next_call = now + LOOK;
+                let heard = self.expired.as_ref().map(|(_, last_order, _)| *last_order);
+                self.previous_last_order = heard.filter(|_| has_expired);
+                if !is_free && !has_expired && now.since(*since) < LEASE_DURATION {
+                    self.next_call = now + POLL_INTERVAL;
                     return None;
                 }
                 let previous = previous_of(stored).filter(|previous| *previous != self.me);
@@ -272,8 +272,8 @@
                 self.write(expected, previous)
             }
         };
-        self.calling_since = Some(now);
-        self.next_call = now + RETRY_PAUSE;
+        self.call_started_at = Some(now);
+        self.next_call = now + RETRY_DELAY;
         Some(effect)
     }
 
@@ -290,7 +290,7 @@
         }
     }
 
-    fn note_read(&mut self, stored: StoredLease, now: LocalTime) -> Vec<LeaseEffect> {
+    fn record_read(&mut self, stored: StoredLease, now: LocalTime) -> Vec<LeaseEffect> {
         let mine = stored
             .record
             .as_ref()
@@ -299,34 +299,34 @@
             if mine {
                 // An update whose answer was lost took effect; it counts from its reading back only.
                 held.revision = stored.revision;
-                self.seen = Some((stored, now));
+                self.last_read = Some((stored, now));
                 return Vec::new();
             }
             self.held = None;
-            self.seen = Some((stored, now));
+            self.last_read = Some((stored, now));
             return vec![LeaseEffect::Lost];
         }
         let is_unchanged = self
-            .seen
+            .last_read
             .as_ref()
             .is_some_and(|(seen, _)| seen.revision == stored.revision);
         if !is_unchanged {
-            self.seen = Some((stored, now));
+            self.last_read = Some((stored, now));
         }
         Vec::new()
     }
 
-    fn note_written(&mut self, revision: u64, now: LocalTime) -> Vec<LeaseEffect> {
-        let sent_at = self.calling_since.take().unwrap_or(now);
-        let valid_until = sent_at + SPAN;
-        let before = self.seen.take();
+    fn record_write(&mut self, revision: u64, now: LocalTime) -> Vec<LeaseEffect> {
+        let sent_at = self.call_started_at.take().unwrap_or(now);
+        let valid_until = sent_at + LEASE_DURATION;
+        let before = self.last_read.take();
         let record = LeaseRecord {
             holder: Some(self.me.clone()),
             previous: None,
             incarnation: self.incarnation,
             update: self.update,
         };
-        self.seen = Some((
+        self.last_read = Some((
             StoredLease {
                 revision,
                 record: Some(record),
@@ -348,8 +348,8 @@
         let order_from = if is_resumed {
             now
         } else {
-            let last_order = self.last_order_before.take().unwrap_or(now);
-            now.max(last_order + self.order_gap + GAP_MARGIN)
+            let last_order = self.previous_last_order.take().unwrap_or(now);
+            now.max(last_order + self.order_gap + ORDER_GAP_MARGIN)
         };
         self.held = Some(HeldLease {
             fence: revision,
@@ -358,7 +358,7 @@
             order_from,
             previous,
         });
-        self.next_call = now + RENEWAL;
+        self.next_call = now + RENEWAL_INTERVAL;
         vec![LeaseEffect::Acquired {
             fence: revision,
             order_from,
--- a/crates/clementinepond_dispatch/src/lib.rs
+++ b/crates/clementinepond_dispatch/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod fleet;
 pub mod health;
 pub mod lease;
-pub mod ledger;
+pub mod load;
 pub mod peer;
 pub mod place;
 pub mod quota;
--- a/crates/clementinepond_dispatch/src/ledger/load_share.rs
+++ b/crates/clementinepond_dispatch/src/load/endpoint_load.rs
@@ -4,14 +4,14 @@
 
 /// Load on one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadShare {
+pub struct EndpointLoad {
     /// Requests sent and not yet ended.
     pub runs: u32,
     /// Tokens of prompts and outputs that the runs may come to hold.
     pub context_tokens: u32,
 }
 
-impl LoadShare {
+impl EndpointLoad {
     /// Adds another share.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
--- a/crates/clementinepond_dispatch/src/ledger/load_ledger.rs
+++ b/crates/clementinepond_dispatch/src/load/load_table.rs
@@ -1,47 +1,47 @@
 //! Load of all endpoints as one VM sees it.
 
-use super::{EndpointKey, LoadShare, ReadQueue};
+use super::{EndpointLoad, NameHash, PrefillQueue};
 use clementinepond_types::{LocalTime, VmId};
 use fnv::FnvHashMap;
 
 /// Load of all endpoints.
 #[derive(Debug, Default)]
-pub struct LoadLedger {
-    own: FnvHashMap<EndpointKey, LoadShare>,
+pub struct LoadTable {
+    own: FnvHashMap<NameHash, EndpointLoad>,
     /// Prompt tokens of own requests without a first token.
-    own_unread: FnvHashMap<EndpointKey, u32>,
+    own_prefill: FnvHashMap<NameHash, u32>,
     /// Prompt text that all VMs sent.
-    queues: FnvHashMap<EndpointKey, ReadQueue>,
-    remote: FnvHashMap<EndpointKey, LoadShare>,
-    by_peer: FnvHashMap<VmId, Vec<(EndpointKey, LoadShare)>>,
+    queues: FnvHashMap<NameHash, PrefillQueue>,
+    remote: FnvHashMap<NameHash, EndpointLoad>,
+    by_peer: FnvHashMap<VmId, Vec<(NameHash, EndpointLoad)>>,
 }
 
-impl LoadLedger {
+impl LoadTable {
     /// Counts a request that is being sent.
-    pub fn start(&mut self, key: EndpointKey, share: LoadShare) {
+    pub fn start(&mut self, key: NameHash, share: EndpointLoad) {
         let own = self.own.entry(key).or_default();
         *own = own.plus(share);
     }
 
     /// Counts the prompt text of a request that is being sent.
-    pub fn start_read(&mut self, key: EndpointKey, tokens: u32, now: LocalTime) {
-        let unread = self.own_unread.entry(key).or_default();
-        *unread = unread.saturating_add(tokens);
+    pub fn start_prefill(&mut self, key: NameHash, tokens: u32, now: LocalTime) {
+        let pending = self.own_prefill.entry(key).or_default();
+        *pending = pending.saturating_add(tokens);
         self.queues.entry(key).or_default().add(tokens, now);
     }
 
     /// Counts the first token of a request, or its end without one.
-    pub fn finish_read(&mut self, key: EndpointKey, tokens: u32) {
-        if let Some(unread) = self.own_unread.get_mut(&key) {
-            *unread = unread.saturating_sub(tokens);
-            if *unread == 0 {
-                self.own_unread.remove(&key);
+    pub fn finish_prefill(&mut self, key: NameHash, tokens: u32) {
+        if let Some(pending) = self.own_prefill.get_mut(&key) {
+            *pending = pending.saturating_sub(tokens);
+            if *pending == 0 {
+                self.own_prefill.remove(&key);
             }
         }
     }
 
     /// Counts the end of a request.
-    pub fn finish(&mut self, key: EndpointKey, share: LoadShare) {
+    pub fn finish(&mut self, key: NameHash, share: EndpointLoad) {
         if let Some(own) = self.own.get_mut(&key) {
             *own = own.minus(share);
             if own.runs == 0 {
@@ -54,12 +54,12 @@
     pub fn start_remote(
         &mut self,
         peer: &VmId,
-        key: EndpointKey,
-        share: LoadShare,
-        unread: u32,
+        key: NameHash,
+        share: EndpointLoad,
+        prefill_tokens: u32,
         now: LocalTime,
     ) {
-        self.queues.entry(key).or_default().add(unread, now);
+        self.queues.entry(key).or_default().add(prefill_tokens, now);
         let remote = self.remote.entry(key).or_default();
         *remote = remote.plus(share);
         if let Some(loads) = self.by_peer.get_mut(peer) {
@@ -70,7 +70,7 @@
     }
 
     /// Takes over what a peer says of its own load.
-    pub fn set_peer(&mut self, peer: &VmId, loads: Vec<(EndpointKey, LoadShare)>) {
+    pub fn set_peer(&mut self, peer: &VmId, loads: Vec<(NameHash, EndpointLoad)>) {
         self.forget_peer(peer);
         for (key, share) in &loads {
             let remote = self.remote.entry(*key).or_default();
@@ -90,13 +90,13 @@
 
     /// Returns the load that this VM put on an endpoint.
     #[must_use]
-    pub fn own(&self, key: EndpointKey) -> LoadShare {
+    pub fn own(&self, key: NameHash) -> EndpointLoad {
         self.own.get(&key).copied().unwrap_or_default()
     }
 
     /// Returns the load that all VMs put on an endpoint.
     #[must_use]
-    pub fn total(&self, key: EndpointKey) -> LoadShare {
+    pub fn total(&self, key: NameHash) -> EndpointLoad {
         let remote = self.remote.get(&key).copied().unwrap_or_default();
         self.own(key).plus(remote)
     }
@@ -104,21 +104,21 @@
     /// Returns the prompt tokens that an endpoint still has to read before those
     /// of a new request.
     #[must_use]
-    pub fn unread(&self, key: EndpointKey, now: LocalTime) -> f64 {
+    pub fn pending_prefill(&self, key: NameHash, now: LocalTime) -> f64 {
         let queue = self.queues.get(&key);
         let waiting = queue.map_or(0.0, |queue| queue.waiting(now));
-        let own = self.own_unread.get(&key).copied().unwrap_or(0);
+        let own = self.own_prefill.get(&key).copied().unwrap_or(0);
         waiting.max(f64::from(own))
     }
 
     /// Forgets the queue of an endpoint that started anew or is gone.
-    pub fn forget_queue(&mut self, key: EndpointKey) {
+    pub fn forget_queue(&mut self, key: NameHash) {
         self.queues.remove(&key);
     }
 
     /// Returns what this VM has to tell its peers.
     #[must_use]
-    pub fn news(&self) -> Vec<(EndpointKey, LoadShare)> {
+    pub fn own_loads(&self) -> Vec<(NameHash, EndpointLoad)> {
         self.own.iter().map(|(key, share)| (*key, *share)).collect()
     }
 }
--- a/crates/clementinepond_dispatch/src/ledger/endpoint_key.rs
+++ b/crates/clementinepond_dispatch/src/load/name_hash.rs
@@ -10,9 +10,9 @@
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{_0:08x}")]
-pub struct EndpointKey(u32);
+pub struct NameHash(u32);
 
-impl EndpointKey {
+impl NameHash {
     /// Hashes a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
--- a/crates/clementinepond_dispatch/src/peer/message.rs
+++ b/crates/clementinepond_dispatch/src/peer/message.rs
@@ -1,19 +1,19 @@
 //! Messages between VMs, one a datagram.
 
-use crate::fleet::PromptPart;
-use crate::ledger::{EndpointKey, LoadShare};
+use crate::fleet::PromptBlock;
+use crate::load::{EndpointLoad, NameHash};
 use clementinepond_types::{AccountId, AdapterId, DataCentreId, EndpointId, ModelId, VmId};
 use serde::{Deserialize, Serialize};
 
 /// Units of one account at one VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct AccountNews {
+pub struct AccountUsage {
     /// Account.
     pub account: AccountId,
     /// Units admitted since the VM's process started.
     pub admitted: u64,
     /// Units asked for a second, refused ones included.
-    pub asked_per_s: u32,
+    pub requested_per_s: u32,
     /// Level of the VM's copy of the bucket; below zero after use elsewhere.
     pub level: i64,
 }
@@ -56,7 +56,7 @@
 
 /// Regular news of a VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PeerNews {
+pub struct PeerHeartbeat {
     /// Random number of the process.
     pub incarnation: u64,
     /// Count of news sent by this process; older ones that come late are dropped.
@@ -74,46 +74,46 @@
     /// Milliseconds since the store last answered this VM's watches.
     pub store_age_ms: u32,
     /// Fencing number, when the VM holds the placement duty.
-    pub duty: Option<u64>,
+    pub lease_fence: Option<u64>,
     /// Milliseconds since the VM's last order, when it held the duty and its
     /// authority is over.
-    pub lapsed_order_age_ms: Option<u32>,
+    pub expired_order_age_ms: Option<u32>,
     /// Accounts.
-    pub accounts: Vec<AccountNews>,
+    pub accounts: Vec<AccountUsage>,
     /// Load put on endpoints.
-    pub loads: Vec<(EndpointKey, LoadShare)>,
+    pub loads: Vec<(NameHash, EndpointLoad)>,
     /// Demand for models.
-    pub demand: Vec<(EndpointKey, ModelDemand)>,
+    pub demand: Vec<(NameHash, ModelDemand)>,
     /// Endpoints that the VM has set aside.
-    pub ejected: Vec<EndpointKey>,
+    pub ejected: Vec<NameHash>,
 }
 
 /// One adapter at one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct AdapterPlace {
+pub struct AdapterLocation {
     /// Endpoint.
-    pub endpoint: EndpointKey,
+    pub endpoint: NameHash,
     /// Model and adapter, hashed together.
-    pub adapter: EndpointKey,
+    pub adapter: NameHash,
 }
 
 /// News from the holder of the placement duty to all VMs.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlacementNews {
+pub struct PlacementUpdate {
     /// Fencing number of the holder.
     pub fence: u64,
     /// Count of news under this fence.
     pub number: u64,
     /// Whether these are all adapters, or changes since the last news.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Adapters that are loaded.
-    pub adapters: Vec<AdapterPlace>,
+    pub adapters: Vec<AdapterLocation>,
     /// Adapters that are no longer loaded.
-    pub removed: Vec<AdapterPlace>,
+    pub removed: Vec<AdapterLocation>,
     /// Copies of models that are about to be unloaded: endpoint and model.
-    pub closing: Vec<(EndpointKey, EndpointKey)>,
+    pub closing: Vec<(NameHash, NameHash)>,
     /// Models being loaded, and the milliseconds until they are expected.
-    pub loading: Vec<(EndpointKey, u32)>,
+    pub loading: Vec<(NameHash, u32)>,
 }
 
 /// A request that a VM is sending to an engine.
@@ -122,20 +122,20 @@
     /// Engine.
     pub endpoint: EndpointId,
     /// Prompt tokens that the engine has to read.
-    pub unread_tokens: u32,
+    pub prefill_tokens: u32,
     /// Tokens of prompt and output that the run may come to hold.
     pub context_tokens: u32,
     /// Model, or model and adapter, under which the prompt is cached.
-    pub weights: EndpointKey,
+    pub weights: NameHash,
     /// Parts of the prompt, which the engine holds from now on.
-    pub parts: Vec<PromptPart>,
+    pub blocks: Vec<PromptBlock>,
     /// Account, and the units admitted for it since the VM's process started.
     pub account: Option<(AccountId, u64)>,
 }
 
 /// Requests that a VM is sending to engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RunNews {
+pub struct RunUpdate {
     /// Random number of the process.
     pub incarnation: u64,
     /// Requests, oldest first.
@@ -146,13 +146,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Regular news.
-    News(Box<PeerNews>),
+    Heartbeat(Box<PeerHeartbeat>),
     /// Requests being sent to engines.
-    Runs(RunNews),
+    Runs(RunUpdate),
     /// News of placement.
-    Placement(Box<PlacementNews>),
+    Placement(Box<PlacementUpdate>),
     /// Changes of endpoints' entries.
-    Entries(EntryNews),
+    Entries(EntryUpdate),
     /// A request waits for an adapter, or has used it.
     AdapterWanted {
         /// Endpoint that should load it.
@@ -163,7 +163,7 @@
         adapter: AdapterId,
     },
     /// An adapter is loaded.
-    AdapterReady(AdapterPlace),
+    AdapterReady(AdapterLocation),
     /// A request crashed an endpoint.
     Crash {
         /// Fingerprint of the request.
@@ -184,7 +184,7 @@
 
 /// Changes of endpoints' entries that follow each other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EntryNews {
+pub struct EntryUpdate {
     /// Revision of the newest change before these.
     pub after: u64,
     /// Changes, oldest first.
--- a/crates/clementinepond_dispatch/src/peer/mod.rs
+++ b/crates/clementinepond_dispatch/src/peer/mod.rs
@@ -4,7 +4,7 @@
 mod peer_table;
 
 pub use message::{
-    AccountNews, AdapterPlace, EntryChange, EntryNews, ModelDemand, PeerEnvelope, PeerMessage,
-    PeerNews, PlacementNews, RunNews, SentRun,
+    AccountUsage, AdapterLocation, EntryChange, EntryUpdate, ModelDemand, PeerEnvelope,
+    PeerHeartbeat, PeerMessage, PlacementUpdate, RunUpdate, SentRun,
 };
-pub use peer_table::{PeerState, PeerTable, RemoteUse, SMALL_FLEET};
+pub use peer_table::{PeerState, PeerTable, RemoteUsage, SMALL_FLEET_MAX_VMS};
--- a/crates/clementinepond_dispatch/src/place/choose.rs
+++ b/crates/clementinepond_dispatch/src/place/choose.rs
@@ -4,15 +4,15 @@
 use clementinepond_types::TimeSpan;
 
 /// Work a copy above which a model deserves another one, in engines.
-const CROWDED_WORK: f64 = 0.22;
+const COPY_UTILIZATION_LIMIT: f64 = 0.22;
 /// The same for a model with one copy, whose loss would stop its requests for
 /// a whole load.
-const LONE_WORK: f64 = 0.08;
+const SINGLE_COPY_UTILIZATION_LIMIT: f64 = 0.08;
 /// Share of the crowded model's work a copy that a model giving up a copy may
 /// reach at most; keeps moves from going back and forth.
-const GIVE_UP_SHARE: f64 = 0.6;
+const EVICTION_UTILIZATION_RATIO: f64 = 0.6;
 /// Age below which a copy is not evicted.
-const SETTLING_TIME: TimeSpan = TimeSpan::from_secs(4);
+const MIN_EVICTION_AGE: TimeSpan = TimeSpan::from_secs(4);
 
 /// One move: evict copies from an engine, then load a model there.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,28 +37,34 @@
         .iter()
         .enumerate()
         .filter_map(|(index, model)| match copies[index] {
-            0 if model.is_awaited => None,
+            0 if model.is_return_expected => None,
             0 => Some((
                 true,
-                model.work + f64::from(u8::from(model.is_wanted)),
+                model.utilization + f64::from(u8::from(model.has_demand)),
                 index,
             )),
             count => {
-                let crowding = model.work / count as f64;
-                let limit = if count == 1 { LONE_WORK } else { CROWDED_WORK };
-                (crowding > limit).then_some((false, crowding, index))
+                let copy_utilization = model.utilization / count as f64;
+                let limit = if count == 1 {
+                    SINGLE_COPY_UTILIZATION_LIMIT
+                } else {
+                    COPY_UTILIZATION_LIMIT
+                };
+                (copy_utilization > limit).then_some((false, copy_utilization, index))
             }
         })
         .collect();
     wanted.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-    wanted.into_iter().find_map(|(is_lost, crowding, model)| {
-        let limit = if is_lost {
-            f64::INFINITY
-        } else {
-            crowding * GIVE_UP_SHARE
-        };
-        best_engine(view, model, limit, &serving)
-    })
+    wanted
+        .into_iter()
+        .find_map(|(is_lost, copy_utilization, model)| {
+            let limit = if is_lost {
+                f64::INFINITY
+            } else {
+                copy_utilization * EVICTION_UTILIZATION_RATIO
+            };
+            best_engine(view, model, limit, &serving)
+        })
 }
 
 /// Counts the copies of each model that serve or will serve.
@@ -107,7 +113,7 @@
             .models
             .iter()
             .filter(|(held, _)| !unload.contains(held))
-            .map(|(held, _)| view.models[*held].work / serving[*held].max(1) as f64)
+            .map(|(held, _)| view.models[*held].utilization / serving[*held].max(1) as f64)
             .sum();
         let cost = loss + seconds * 0.2 + busy + 0.1 * unload.len() as f64;
         if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
@@ -139,20 +145,20 @@
     let mut victims: Vec<(f64, usize)> = engine
         .models
         .iter()
-        .filter(|(held, age)| serving[*held] > 1 && *age >= SETTLING_TIME)
+        .filter(|(held, age)| serving[*held] > 1 && *age >= MIN_EVICTION_AGE)
         .map(|(held, _)| {
             let left = (serving[*held] - 1) as f64;
-            (view.models[*held].work / left, *held)
+            (view.models[*held].utilization / left, *held)
         })
-        .filter(|(crowding, _)| *crowding <= limit)
+        .filter(|(copy_utilization, _)| *copy_utilization <= limit)
         .collect();
     victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-    for (crowding, victim) in victims {
+    for (copy_utilization, victim) in victims {
         if free >= needed {
             break;
         }
         free += view.models[victim].weights_mb;
-        loss = loss.max(crowding);
+        loss = loss.max(copy_utilization);
         unload.push(victim);
     }
     (free >= needed).then_some((unload, loss))
--- a/crates/clementinepond_dispatch/src/place/demand.rs
+++ b/crates/clementinepond_dispatch/src/place/demand.rs
@@ -1,16 +1,16 @@
 //! Demand for models at one VM.
 
-use crate::ledger::EndpointKey;
+use crate::load::NameHash;
 use crate::peer::ModelDemand;
 use clementinepond_types::LocalTime;
 use fnv::FnvHashMap;
 
 /// Time constant of the moving averages, in seconds; short against the
 /// seconds within which demand moves to other models.
-const MEMORY_S: f64 = 1.5;
+const DECAY_TIME_S: f64 = 1.5;
 /// Demand below which a model is dropped from the news, in tokens a second; a
 /// single request stays in the news for some seconds.
-const NEGLIGIBLE_PER_S: f32 = 3.0;
+const MIN_REPORTED_TOKENS_PER_S: f32 = 3.0;
 /// Prompt tokens that one engine reads in a second while it also generates.
 const PREFILL_TOKENS_PER_S: f64 = 24_000.0;
 /// Tokens that one engine generates in a second with a comfortable batch.
@@ -19,32 +19,33 @@
 /// Moving averages of the demand for each model.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
-    models: FnvHashMap<EndpointKey, (ModelDemand, LocalTime)>,
+    models: FnvHashMap<NameHash, (ModelDemand, LocalTime)>,
 }
 
 impl DemandMeter {
     /// Counts one request, served or not.
-    pub fn note(&mut self, model: EndpointKey, prefill: u64, output: u64, now: LocalTime) {
+    pub fn record(&mut self, model: NameHash, prefill: u64, output: u64, now: LocalTime) {
         let (demand, at) = self
             .models
             .entry(model)
             .or_insert((ModelDemand::default(), now));
-        *demand = faded(*demand, *at, now);
+        *demand = decayed(*demand, *at, now);
         *at = now;
-        let step = (1.0 / MEMORY_S) as f32;
+        let step = (1.0 / DECAY_TIME_S) as f32;
         demand.prefill_per_s += prefill as f32 * step;
         demand.output_per_s += output as f32 * step;
     }
 
     /// Returns the demand as of now.
-    pub fn news(&mut self, now: LocalTime) -> Vec<(EndpointKey, ModelDemand)> {
+    pub fn snapshot(&mut self, now: LocalTime) -> Vec<(NameHash, ModelDemand)> {
         let current: Vec<_> = self
             .models
             .iter()
-            .map(|(model, (demand, at))| (*model, faded(*demand, *at, now)))
+            .map(|(model, (demand, at))| (*model, decayed(*demand, *at, now)))
             .collect();
-        self.models
-            .retain(|_, (demand, at)| tokens_per_s(faded(*demand, *at, now)) > NEGLIGIBLE_PER_S);
+        self.models.retain(|_, (demand, at)| {
+            tokens_per_s(decayed(*demand, *at, now)) > MIN_REPORTED_TOKENS_PER_S
+        });
         current
     }
 }
@@ -53,9 +54,9 @@
     demand.prefill_per_s + demand.output_per_s
 }
 
-fn faded(demand: ModelDemand, at: LocalTime, now: LocalTime) -> ModelDemand {
+fn decayed(demand: ModelDemand, at: LocalTime, now: LocalTime) -> ModelDemand {
     let seconds = now.since(at).micros() as f64 / 1e6;
-    let factor = (-seconds / MEMORY_S).exp() as f32;
+    let factor = (-seconds / DECAY_TIME_S).exp() as f32;
     ModelDemand {
         prefill_per_s: demand.prefill_per_s * factor,
         output_per_s: demand.output_per_s * factor,
@@ -64,7 +65,7 @@
 
 /// Converts demand to the number of engines that it keeps busy.
 #[must_use]
-pub fn work_of(demand: ModelDemand) -> f64 {
+pub fn utilization(demand: ModelDemand) -> f64 {
     f64::from(demand.prefill_per_s) / PREFILL_TOKENS_PER_S
         + f64::from(demand.output_per_s) / OUTPUT_TOKENS_PER_S
 }
--- a/crates/clementinepond_dispatch/src/place/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/mod.rs
@@ -8,13 +8,13 @@
 mod choose;
 mod demand;
 mod order;
-mod order_book;
+mod order_tracker;
 mod planner;
 mod view;
 
 pub use choose::{PlacementMove, choose_move};
-pub use demand::{DemandMeter, work_of};
+pub use demand::{DemandMeter, utilization};
 pub use order::{EndpointOrder, EndpointStatus, OrderReply, SentOrder};
-pub use order_book::{AdapterPhase, HeldAdapter, OrderBook};
-pub use planner::{PlacementPlanner, PlannerEffect, PlannerInput, adapter_key};
+pub use order_tracker::{AdapterPhase, HeldAdapter, OrderTracker};
+pub use planner::{PlacementPlanner, PlannerEffect, PlannerInput, adapter_hash};
 pub use view::{EngineView, ModelView, PlacementView};
--- a/crates/clementinepond_dispatch/src/place/order_book.rs
+++ b/crates/clementinepond_dispatch/src/place/order_tracker.rs
@@ -8,12 +8,12 @@
 
 /// Time within which an endpoint may still carry out an order that it left
 /// unanswered.
-const LATE_ORDER_SPAN: TimeSpan = TimeSpan::from_secs(14);
+const LATE_ORDER_TIMEOUT: TimeSpan = TimeSpan::from_secs(14);
 /// Time after which an accepted model load that never showed is written off.
-const LOAD_PATIENCE: TimeSpan = TimeSpan::from_secs(20);
+const MODEL_ORDER_TIMEOUT: TimeSpan = TimeSpan::from_secs(20);
 
 /// Pause between two orders to an endpoint that is dropping an adapter in use.
-const DROP_PAUSE: TimeSpan = TimeSpan::from_millis(300);
+const ADAPTER_UNLOAD_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(300);
 
 /// Where one adapter stands at one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// Orders to one endpoint in one life.
 #[derive(Debug, Default)]
-pub struct OrderBook {
+pub struct OrderTracker {
     /// Start of the life, in Unix milliseconds.
     pub started_ms: u64,
     /// Orders that the endpoint has accepted; unknown until its status is read.
@@ -49,9 +49,9 @@
     /// Models that the endpoint's last status named and that may still be there.
     reported: BTreeSet<ModelId>,
     /// Order on its way, with the moment of sending.
-    pub flight: Option<(EndpointOrder, LocalTime)>,
+    pub in_flight: Option<(EndpointOrder, LocalTime)>,
     /// Orders without an answer, and until when they may be carried out.
-    doubtful: Vec<(EndpointOrder, LocalTime)>,
+    unresolved: Vec<(EndpointOrder, LocalTime)>,
     /// Model being loaded: accepted, not yet listed.
     pub loading: Option<(ModelId, LocalTime)>,
     /// Model being unloaded: accepted, still listed.
@@ -69,32 +69,32 @@
     pub accepted_at: LocalTime,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Takes over the endpoint's description; a new life starts a new book.
-    pub fn note_entry(&mut self, entry: &EndpointEntry, now: LocalTime) {
+    pub fn record_entry(&mut self, entry: &EndpointEntry, now: LocalTime) {
         let is_new = entry.started_ms != self.started_ms;
         if is_new {
-            let doubtful = std::mem::take(&mut self.doubtful);
+            let unresolved = std::mem::take(&mut self.unresolved);
             *self = Self {
                 started_ms: entry.started_ms,
-                doubtful,
+                unresolved,
                 ..Self::default()
             };
         }
-        self.doubtful.retain(|(_, until)| now < *until);
+        self.unresolved.retain(|(_, until)| now < *until);
         let reported = self.reported.clone();
         let is_done = |model: &ModelId| entry.hosted(model).is_some() || reported.contains(model);
         if self
             .loading
             .as_ref()
-            .is_some_and(|(model, at)| is_done(model) || now.since(*at) > LOAD_PATIENCE)
+            .is_some_and(|(model, at)| is_done(model) || now.since(*at) > MODEL_ORDER_TIMEOUT)
         {
             self.loading = None;
         }
         if self
             .unloading
             .as_ref()
-            .is_some_and(|(model, at)| !is_done(model) || now.since(*at) > LOAD_PATIENCE)
+            .is_some_and(|(model, at)| !is_done(model) || now.since(*at) > MODEL_ORDER_TIMEOUT)
         {
             self.unloading = None;
         }
@@ -115,7 +115,7 @@
     }
 
     /// Notes an endpoint's own account of its models and orders.
-    pub fn note_status(&mut self, models: BTreeSet<ModelId>, order_count: u64) {
+    pub fn record_status(&mut self, models: BTreeSet<ModelId>, order_count: u64) {
         self.reported = models;
         self.count_floor = self.count_floor.max(order_count);
         self.order_count = Some(self.count_floor);
@@ -123,13 +123,13 @@
 
     /// Notes that the entry, which still lists a model being unloaded, will
     /// show when it is gone.
-    pub fn trust_entry(&mut self, model: &ModelId) {
+    pub fn clear_reported(&mut self, model: &ModelId) {
         self.reported.remove(model);
     }
 
     /// Returns every model that the endpoint may hold or come to hold.
     #[must_use]
-    pub fn possible(&self, entry: &EndpointEntry) -> BTreeSet<ModelId> {
+    pub fn possible_models(&self, entry: &EndpointEntry) -> BTreeSet<ModelId> {
         let listed = entry.models.iter().map(|hosted| hosted.id.clone());
         listed
             .chain(self.reported.iter().cloned())
@@ -147,26 +147,27 @@
     }
 
     /// Notes an order's answer.
-    pub fn note_reply(&mut self, order: &EndpointOrder, reply: OrderReply, now: LocalTime) {
-        self.flight = None;
+    pub fn record_reply(&mut self, order: &EndpointOrder, reply: OrderReply, now: LocalTime) {
+        self.in_flight = None;
         match reply {
             OrderReply::Accepted => {
                 self.advance();
                 self.accepted_at = now;
                 // The count moved on, so earlier copies fail their condition.
-                self.doubtful.clear();
-                self.note_accepted(order, now);
+                self.unresolved.clear();
+                self.record_accepted(order, now);
             }
             OrderReply::Holds => {
                 self.accepted_at = now;
-                self.note_held(order, now);
+                self.record_already_applied(order, now);
             }
-            OrderReply::Conflict if self.is_dropping_adapter() => {
-                self.pause_until = now + DROP_PAUSE;
+            OrderReply::Conflict if self.is_unloading_adapter() => {
+                self.pause_until = now + ADAPTER_UNLOAD_RETRY_DELAY;
             }
             OrderReply::Conflict => self.order_count = None,
             OrderReply::Unknown => {
-                self.doubtful.push((order.clone(), now + LATE_ORDER_SPAN));
+                self.unresolved
+                    .push((order.clone(), now + LATE_ORDER_TIMEOUT));
             }
             OrderReply::Refused | OrderReply::Stranger | OrderReply::NotSent => {
                 self.pause_until = now + TimeSpan::from_millis(500);
@@ -175,7 +176,7 @@
     }
 
     /// Tells whether an adapter that was in use is being dropped.
-    fn is_dropping_adapter(&self) -> bool {
+    fn is_unloading_adapter(&self) -> bool {
         let is_unloading = |held: &HeldAdapter| held.phase == AdapterPhase::Unloading;
         self.adapters.values().any(is_unloading)
     }
@@ -185,7 +186,7 @@
         self.count_floor = self.order_count.unwrap_or(self.count_floor);
     }
 
-    fn note_accepted(&mut self, order: &EndpointOrder, now: LocalTime) {
+    fn record_accepted(&mut self, order: &EndpointOrder, now: LocalTime) {
         match order {
             EndpointOrder::LoadModel(model) => self.loading = Some((model.clone(), now)),
             EndpointOrder::UnloadModel(model) => {
@@ -212,7 +213,7 @@
         }
     }
 
-    fn note_held(&mut self, order: &EndpointOrder, now: LocalTime) {
+    fn record_already_applied(&mut self, order: &EndpointOrder, now: LocalTime) {
         match order {
             EndpointOrder::LoadAdapter(model, adapter) => {
                 let held = HeldAdapter {
@@ -227,7 +228,7 @@
                 // An idle adapter is dropped at once, which counts as an order.
                 self.adapters.remove(&(model.clone(), adapter.clone()));
                 self.advance();
-                self.doubtful.clear();
+                self.unresolved.clear();
             }
             EndpointOrder::LoadModel(_) | EndpointOrder::UnloadModel(_) => {
                 self.order_count = None;
@@ -236,27 +237,27 @@
     }
 
     /// Returns the orders that may still be carried out.
-    pub fn doubtful(&self) -> impl Iterator<Item = &EndpointOrder> {
-        self.doubtful
+    pub fn unresolved(&self) -> impl Iterator<Item = &EndpointOrder> {
+        self.unresolved
             .iter()
             .map(|(order, _)| order)
-            .chain(self.flight.iter().map(|(order, _)| order))
+            .chain(self.in_flight.iter().map(|(order, _)| order))
     }
 
     /// Returns models that the endpoint may come to hold without being listed.
     pub fn arriving(&self) -> impl Iterator<Item = &ModelId> {
-        let doubtful = self.doubtful().filter_map(|order| match order {
+        let unresolved = self.unresolved().filter_map(|order| match order {
             EndpointOrder::LoadModel(model) => Some(model),
             _ => None,
         });
-        doubtful.chain(self.loading.iter().map(|(model, _)| model))
+        unresolved.chain(self.loading.iter().map(|(model, _)| model))
     }
 
     /// Returns the adapters that may take up slots.
     #[must_use]
     pub fn adapter_slots_taken(&self) -> usize {
         let arriving = self
-            .doubtful()
+            .unresolved()
             .filter(|order| {
                 matches!(order, EndpointOrder::LoadAdapter(model, adapter)
                 if !self.adapters.contains_key(&(model.clone(), adapter.clone())))
@@ -269,6 +270,6 @@
     /// Tells whether an order may be sent now.
     #[must_use]
     pub fn is_idle(&self, now: LocalTime) -> bool {
-        self.flight.is_none() && now >= self.pause_until
+        self.in_flight.is_none() && now >= self.pause_until
     }
 }
--- a/crates/clementinepond_dispatch/src/place/planner/adapters.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/adapters.rs
@@ -1,16 +1,16 @@
 //! Adapters that requests wait for.
 
-use super::{AdapterWait, PlacementPlanner, PlannerEffect, PlannerInput, adapter_key};
+use super::{AdapterWait, PlacementPlanner, PlannerEffect, PlannerInput, adapter_hash};
 use crate::fleet::EnginePolicy;
-use crate::ledger::EndpointKey;
-use crate::peer::AdapterPlace;
+use crate::load::NameHash;
+use crate::peer::AdapterLocation;
 use crate::place::order::EndpointOrder;
-use crate::place::order_book::AdapterPhase;
+use crate::place::order_tracker::AdapterPhase;
 use clementinepond_types::{LocalTime, TimeSpan};
 
 /// Time after its last request for which an adapter is not displaced: an adapter
 /// that a stream still uses blocks all further orders until the stream ends.
-const ADAPTER_REST: TimeSpan = TimeSpan::from_millis(2_500);
+const ADAPTER_MIN_IDLE: TimeSpan = TimeSpan::from_millis(2_500);
 
 enum AdapterStep {
     Ready,
@@ -19,7 +19,7 @@
 }
 
 impl PlacementPlanner {
-    pub(super) fn carry_adapters(
+    pub(super) fn advance_adapters(
         &mut self,
         input: &PlannerInput<'_>,
         now: LocalTime,
@@ -39,9 +39,9 @@
             }
             let order = match self.adapter_step(input.policy, &wait, now) {
                 AdapterStep::Ready => {
-                    let place = AdapterPlace {
-                        endpoint: EndpointKey::of(wait.endpoint.as_str()),
-                        adapter: adapter_key(&wait.model, &wait.adapter),
+                    let place = AdapterLocation {
+                        endpoint: NameHash::of(wait.endpoint.as_str()),
+                        adapter: adapter_hash(&wait.model, &wait.adapter),
                     };
                     for vm in wait.vms {
                         let place = place.clone();
@@ -66,11 +66,11 @@
         wait: &AdapterWait,
         now: LocalTime,
     ) -> AdapterStep {
-        let Some(book) = self.books.get_mut(&wait.endpoint) else {
+        let Some(tracker) = self.trackers.get_mut(&wait.endpoint) else {
             return AdapterStep::Wait;
         };
         let key = (wait.model.clone(), wait.adapter.clone());
-        match book.adapters.get_mut(&key) {
+        match tracker.adapters.get_mut(&key) {
             Some(held) if held.phase != AdapterPhase::Unloading => {
                 held.used_at = now;
                 if now < held.ready_at {
@@ -81,18 +81,18 @@
             }
             _ => {}
         }
-        let is_busy = book.loading.is_some() || book.unloading.is_some();
-        if !book.is_idle(now) || book.order_count.is_none() || is_busy {
+        let is_busy = tracker.loading.is_some() || tracker.unloading.is_some();
+        if !tracker.is_idle(now) || tracker.order_count.is_none() || is_busy {
             return AdapterStep::Wait;
         }
-        if book.adapter_slots_taken() < policy.adapter_slots as usize {
+        if tracker.adapter_slots_taken() < policy.adapter_slots as usize {
             return AdapterStep::Order(EndpointOrder::LoadAdapter(key.0, key.1));
         }
-        let victim = book
+        let victim = tracker
             .adapters
             .iter()
             .filter(|(_, held)| held.phase != AdapterPhase::Unloading && now >= held.ready_at)
-            .filter(|(_, held)| now.since(held.used_at) > ADAPTER_REST)
+            .filter(|(_, held)| now.since(held.used_at) > ADAPTER_MIN_IDLE)
             .min_by_key(|(_, held)| held.used_at)
             .map(|((model, adapter), _)| (model.clone(), adapter.clone()));
         match victim {
--- a/crates/clementinepond_dispatch/src/place/planner/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/mod.rs
@@ -5,29 +5,29 @@
 mod moves;
 
 use crate::fleet::{EndpointEntry, EnginePolicy};
-use crate::ledger::EndpointKey;
-use crate::peer::{AdapterPlace, ModelDemand, PlacementNews};
+use crate::load::NameHash;
+use crate::peer::{AdapterLocation, ModelDemand, PlacementUpdate};
 use crate::place::order::{EndpointOrder, EndpointStatus, OrderReply, SentOrder};
-use crate::place::order_book::{AdapterPhase, HeldAdapter, OrderBook};
+use crate::place::order_tracker::{AdapterPhase, HeldAdapter, OrderTracker};
 use clementinepond_types::{AdapterId, EndpointId, LocalTime, ModelId, TimeSpan, VmId};
 use fnv::FnvHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
 /// Time that orders of a move take beside the load itself.
-const ORDER_TIME: TimeSpan = TimeSpan::from_millis(300);
+const MOVE_ORDER_OVERHEAD: TimeSpan = TimeSpan::from_millis(300);
 /// Time between two searches for moves.
-const MOVE_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
+const MOVE_SEARCH_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 /// Time between two readings of an endpoint's status.
-const STATUS_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
+const STATUS_READ_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 /// Age of an accepted order up to which a status may not show it yet.
 const STATUS_LAG: TimeSpan = TimeSpan::from_millis(500);
 /// Time from an accepted adapter load to its use; the adapters' usual load time.
-const ADAPTER_LOAD: TimeSpan = TimeSpan::from_millis(14);
+const ADAPTER_LOAD_TIME: TimeSpan = TimeSpan::from_millis(14);
 /// Time after which a wait for an adapter is dropped; callers have gone elsewhere.
-const ADAPTER_PATIENCE: TimeSpan = TimeSpan::from_millis(1_500);
+const ADAPTER_WAIT_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
 /// Loads from the weight store that may be saved up.
-const STORE_LOAD_BURST: f64 = 3.0;
+const STORE_CREDIT_LIMIT: f64 = 3.0;
 
 /// What the holder asks its edge to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -46,7 +46,7 @@
         /// VM that waits.
         vm: VmId,
         /// Where it is.
-        place: AdapterPlace,
+        place: AdapterLocation,
     },
     /// A move was started; for the log.
     MoveStarted {
@@ -57,7 +57,7 @@
         /// Model that comes.
         load: ModelId,
         /// Work a copy that called for the move, in thousandths of an engine.
-        crowding_milli: u64,
+        utilization_milli: u64,
         /// Whether the weights come from the weight store.
         from_store: bool,
     },
@@ -91,7 +91,7 @@
     /// Endpoints, and whether each takes requests and orders.
     pub endpoints: Vec<(&'a EndpointEntry, bool)>,
     /// Demand over all VMs.
-    pub demand: &'a FnvHashMap<EndpointKey, ModelDemand>,
+    pub demand: &'a FnvHashMap<NameHash, ModelDemand>,
     /// Fencing number.
     pub fence: u64,
 }
@@ -99,10 +99,10 @@
 /// Placement of one service.
 #[derive(Debug, Default)]
 pub struct PlacementPlanner {
-    books: BTreeMap<EndpointId, OrderBook>,
+    trackers: BTreeMap<EndpointId, OrderTracker>,
     /// Models that the endpoints' entries listed at the last step.
     listed: BTreeSet<(EndpointId, ModelId)>,
-    status_asked: FnvHashMap<EndpointId, LocalTime>,
+    status_requested_at: FnvHashMap<EndpointId, LocalTime>,
     moves: BTreeMap<EndpointId, MoveTask>,
     waits: Vec<AdapterWait>,
     store_credit: f64,
@@ -111,7 +111,7 @@
     /// Moment since which no endpoint holds a model.
     lost_since: FnvHashMap<ModelId, LocalTime>,
     /// Moment before which a status may not show the last holder's orders.
-    quiet_until: LocalTime,
+    status_stale_until: LocalTime,
 }
 
 impl PlacementPlanner {
@@ -120,7 +120,7 @@
     pub fn new(now: LocalTime) -> Self {
         Self {
             credited_at: now,
-            quiet_until: now + STATUS_LAG,
+            status_stale_until: now + STATUS_LAG,
             ..Self::default()
         }
     }
@@ -132,13 +132,13 @@
 
     /// Goes on as the holder after a lapse in which nobody else held the duty.
     pub fn resume(&mut self) {
-        for book in self.books.values_mut() {
-            book.order_count = None;
+        for tracker in self.trackers.values_mut() {
+            tracker.order_count = None;
         }
     }
 
     /// Notes that a request at a VM needs an adapter, or has used it.
-    pub fn want_adapter(
+    pub fn request_adapter(
         &mut self,
         vm: &VmId,
         endpoint: &EndpointId,
@@ -146,8 +146,8 @@
         adapter: &AdapterId,
         now: LocalTime,
     ) {
-        if let Some(book) = self.books.get_mut(endpoint)
-            && let Some(held) = book.adapters.get_mut(&(model.clone(), adapter.clone()))
+        if let Some(tracker) = self.trackers.get_mut(endpoint)
+            && let Some(held) = tracker.adapters.get_mut(&(model.clone(), adapter.clone()))
         {
             held.used_at = now;
         }
@@ -170,58 +170,59 @@
     }
 
     /// Notes an order's answer.
-    pub fn note_reply(
+    pub fn record_reply(
         &mut self,
         endpoint: &EndpointId,
         order: &EndpointOrder,
         reply: OrderReply,
         now: LocalTime,
     ) {
-        if let Some(book) = self.books.get_mut(endpoint) {
-            book.note_reply(order, reply, now);
+        if let Some(tracker) = self.trackers.get_mut(endpoint) {
+            tracker.record_reply(order, reply, now);
             if let (EndpointOrder::UnloadModel(model), OrderReply::Accepted) = (order, reply)
                 && self.listed.contains(&(endpoint.clone(), model.clone()))
             {
-                book.trust_entry(model);
+                tracker.clear_reported(model);
             }
             if let (EndpointOrder::LoadAdapter(model, adapter), OrderReply::Accepted) =
                 (order, reply)
-                && let Some(held) = book.adapters.get_mut(&(model.clone(), adapter.clone()))
+                && let Some(held) = tracker.adapters.get_mut(&(model.clone(), adapter.clone()))
             {
-                held.ready_at = now + ADAPTER_LOAD;
+                held.ready_at = now + ADAPTER_LOAD_TIME;
             }
         }
     }
 
-    /// Takes over an endpoint's status that was asked for at `asked_at`.
-    pub fn note_status(
+    /// Takes over an endpoint's status that was asked for at `demand_updated_at`.
+    pub fn record_status(
         &mut self,
         endpoint: &EndpointId,
         status: &EndpointStatus,
-        asked_at: LocalTime,
+        demand_updated_at: LocalTime,
         now: LocalTime,
     ) {
-        let Some(book) = self.books.get_mut(endpoint) else {
+        let Some(tracker) = self.trackers.get_mut(endpoint) else {
             return;
         };
-        if book.flight.is_some() || asked_at.since(book.accepted_at) <= STATUS_LAG {
+        if tracker.in_flight.is_some() || demand_updated_at.since(tracker.accepted_at) <= STATUS_LAG
+        {
             return;
         }
-        if status.is_busy && book.loading.is_none() && book.unloading.is_none() {
+        if status.is_busy && tracker.loading.is_none() && tracker.unloading.is_none() {
             // An order of an earlier holder is under way; what it loads shows
             // only when it is done.
             return;
         }
         let models = status.models.iter().map(|hosted| hosted.id.clone());
-        book.note_status(models.collect(), status.order_count);
+        tracker.record_status(models.collect(), status.order_count);
         if status.is_busy {
-            book.pause_until = now + STATUS_INTERVAL;
+            tracker.pause_until = now + STATUS_READ_INTERVAL;
         }
         let mut adapters = FnvHashMap::default();
         for hosted in &status.models {
             for adapter in &hosted.adapters {
                 let key = (hosted.id.clone(), adapter.clone());
-                let used_at = book.adapters.get(&key).map_or(now, |held| held.used_at);
+                let used_at = tracker.adapters.get(&key).map_or(now, |held| held.used_at);
                 let held = HeldAdapter {
                     phase: AdapterPhase::Loaded,
                     used_at,
@@ -234,24 +235,24 @@
             let held = HeldAdapter {
                 phase: AdapterPhase::Loading,
                 used_at: now,
-                ready_at: now + ADAPTER_LOAD,
+                ready_at: now + ADAPTER_LOAD_TIME,
             };
             adapters.insert((model.clone(), adapter.clone()), held);
         }
-        book.adapters = adapters;
+        tracker.adapters = adapters;
     }
 
     /// Advances the planner to `now` and returns the effects that are due.
     pub fn step(&mut self, input: &PlannerInput<'_>, now: LocalTime) -> Vec<PlannerEffect> {
         let mut effects = Vec::new();
-        self.earn_credit(input.policy, now);
-        self.note_endpoints(input, now);
-        self.ask_status(input, now, &mut effects);
-        self.carry_adapters(input, now, &mut effects);
-        self.carry_moves(input, now, &mut effects);
+        self.refill_store_credit(input.policy, now);
+        self.record_endpoints(input, now);
+        self.request_statuses(input, now, &mut effects);
+        self.advance_adapters(input, now, &mut effects);
+        self.advance_moves(input, now, &mut effects);
         if now >= self.next_search {
-            self.next_search = now + MOVE_INTERVAL;
-            self.note_lost(input, now);
+            self.next_search = now + MOVE_SEARCH_INTERVAL;
+            self.record_lost_models(input, now);
             self.search_moves(input, now, &mut effects);
         }
         effects
@@ -259,44 +260,50 @@
 
     /// Returns what all VMs should know.
     #[must_use]
-    pub fn news(&self, fence: u64, now: LocalTime) -> PlacementNews {
-        let mut news = PlacementNews {
+    pub fn update(&self, fence: u64, now: LocalTime) -> PlacementUpdate {
+        let mut update = PlacementUpdate {
             fence,
-            ..PlacementNews::default()
+            ..PlacementUpdate::default()
         };
-        for (id, book) in &self.books {
-            let endpoint = EndpointKey::of(id.as_str());
-            for ((model, adapter), held) in &book.adapters {
+        for (id, tracker) in &self.trackers {
+            let endpoint = NameHash::of(id.as_str());
+            for ((model, adapter), held) in &tracker.adapters {
                 if held.phase != AdapterPhase::Unloading && now >= held.ready_at {
-                    let adapter = adapter_key(model, adapter);
-                    news.adapters.push(AdapterPlace { endpoint, adapter });
+                    let adapter = adapter_hash(model, adapter);
+                    update.adapters.push(AdapterLocation { endpoint, adapter });
                 }
             }
         }
         for (id, task) in &self.moves {
-            let endpoint = EndpointKey::of(id.as_str());
+            let endpoint = NameHash::of(id.as_str());
             for model in &task.unload {
-                news.closing
-                    .push((endpoint, EndpointKey::of(model.as_str())));
+                update
+                    .closing
+                    .push((endpoint, NameHash::of(model.as_str())));
             }
-            let ready_at = match self.books.get(id).and_then(|book| book.loading.as_ref()) {
+            let ready_at = match self
+                .trackers
+                .get(id)
+                .and_then(|tracker| tracker.loading.as_ref())
+            {
                 Some((_, since)) => *since + task.load_time,
-                None => now.max(task.unload_from) + task.load_time + ORDER_TIME,
+                None => now.max(task.unload_from) + task.load_time + MOVE_ORDER_OVERHEAD,
             };
             let millis = u32::try_from(now.until(ready_at).millis()).unwrap_or(u32::MAX);
-            news.loading
-                .push((EndpointKey::of(task.load.as_str()), millis));
+            update
+                .loading
+                .push((NameHash::of(task.load.as_str()), millis));
         }
-        news
+        update
     }
 
     /// Tells whether a request waits for an adapter.
     #[must_use]
-    pub fn has_waits(&self) -> bool {
+    pub fn has_adapter_waits(&self) -> bool {
         !self.waits.is_empty()
     }
 
-    fn earn_credit(&mut self, policy: &EnginePolicy, now: LocalTime) {
+    fn refill_store_credit(&mut self, policy: &EnginePolicy, now: LocalTime) {
         let seconds = now.since(self.credited_at).micros() as f64 / 1e6;
         self.credited_at = now;
         let rate = if policy.loads_per_s > 0.0 {
@@ -304,51 +311,53 @@
         } else {
             f64::from(u16::MAX)
         };
-        self.store_credit = (self.store_credit + seconds * rate).min(STORE_LOAD_BURST.max(rate));
+        self.store_credit = (self.store_credit + seconds * rate).min(STORE_CREDIT_LIMIT.max(rate));
     }
 
-    fn note_endpoints(&mut self, input: &PlannerInput<'_>, now: LocalTime) {
-        self.books
+    fn record_endpoints(&mut self, input: &PlannerInput<'_>, now: LocalTime) {
+        self.trackers
             .retain(|id, _| input.endpoints.iter().any(|(entry, _)| entry.id == *id));
         self.listed.clear();
         for (entry, _) in &input.endpoints {
             for hosted in &entry.models {
                 self.listed.insert((entry.id.clone(), hosted.id.clone()));
             }
-            let book = self.books.entry(entry.id.clone()).or_default();
-            let is_new_life = book.started_ms != entry.started_ms;
-            book.note_entry(entry, now);
+            let tracker = self.trackers.entry(entry.id.clone()).or_default();
+            let is_new_life = tracker.started_ms != entry.started_ms;
+            tracker.record_entry(entry, now);
             if is_new_life {
-                book.order_count = None;
+                tracker.order_count = None;
                 self.moves.remove(&entry.id);
-                self.status_asked.remove(&entry.id);
+                self.status_requested_at.remove(&entry.id);
             }
         }
-        let books = &self.books;
-        self.moves.retain(|id, _| books.contains_key(id));
+        let trackers = &self.trackers;
+        self.moves.retain(|id, _| trackers.contains_key(id));
         self.waits
-            .retain(|wait| now.since(wait.since) < ADAPTER_PATIENCE);
+            .retain(|wait| now.since(wait.since) < ADAPTER_WAIT_TIMEOUT);
     }
 
-    fn ask_status(
+    fn request_statuses(
         &mut self,
         input: &PlannerInput<'_>,
         now: LocalTime,
         effects: &mut Vec<PlannerEffect>,
     ) {
         for (entry, is_usable) in &input.endpoints {
-            let Some(book) = self.books.get(&entry.id) else {
+            let Some(tracker) = self.trackers.get(&entry.id) else {
                 continue;
             };
-            let is_early = now < self.quiet_until || now.since(book.accepted_at) <= STATUS_LAG;
-            if !is_usable || is_early || book.flight.is_some() || !book.needs_status(entry) {
+            let is_early =
+                now < self.status_stale_until || now.since(tracker.accepted_at) <= STATUS_LAG;
+            if !is_usable || is_early || tracker.in_flight.is_some() || !tracker.needs_status(entry)
+            {
                 continue;
             }
-            let asked = self.status_asked.get(&entry.id);
-            if asked.is_some_and(|at| now.since(*at) < STATUS_INTERVAL) {
+            let asked = self.status_requested_at.get(&entry.id);
+            if asked.is_some_and(|at| now.since(*at) < STATUS_READ_INTERVAL) {
                 continue;
             }
-            self.status_asked.insert(entry.id.clone(), now);
+            self.status_requested_at.insert(entry.id.clone(), now);
             effects.push(PlannerEffect::ReadStatus {
                 endpoint: entry.id.clone(),
                 address: entry.address,
@@ -363,12 +372,12 @@
         fence: u64,
         now: LocalTime,
     ) -> Option<PlannerEffect> {
-        let book = self.books.get_mut(&entry.id)?;
-        if !book.is_idle(now) {
+        let tracker = self.trackers.get_mut(&entry.id)?;
+        if !tracker.is_idle(now) {
             return None;
         }
-        let after = book.order_count?;
-        book.flight = Some((order.clone(), now));
+        let after = tracker.order_count?;
+        tracker.in_flight = Some((order.clone(), now));
         Some(PlannerEffect::Send(SentOrder {
             endpoint: entry.id.clone(),
             address: entry.address,
@@ -381,6 +390,6 @@
 
 /// Returns the short name of an adapter of a model.
 #[must_use]
-pub fn adapter_key(model: &ModelId, adapter: &AdapterId) -> EndpointKey {
-    EndpointKey::of(&format!("{model}/{adapter}"))
+pub fn adapter_hash(model: &ModelId, adapter: &AdapterId) -> NameHash {
+    NameHash::of(&format!("{model}/{adapter}"))
 }
--- a/crates/clementinepond_dispatch/src/place/planner/moves.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/moves.rs
@@ -2,30 +2,30 @@
 
 use super::{MoveTask, PlacementPlanner, PlannerEffect, PlannerInput};
 use crate::fleet::{EndpointEntry, EnginePolicy};
-use crate::ledger::EndpointKey;
+use crate::load::NameHash;
 use crate::place::choose::{choose_move, load_time};
-use crate::place::demand::work_of;
+use crate::place::demand::utilization;
 use crate::place::order::EndpointOrder;
-use crate::place::order_book::OrderBook;
+use crate::place::order_tracker::OrderTracker;
 use crate::place::view::{EngineView, ModelView, PlacementView};
 use clementinepond_types::{EndpointId, LocalTime, ModelId, TimeSpan};
 
 /// Time between the announcement that a copy closes and its unload; covers
 /// the news' way to all VMs.
-const CLOSING_NOTICE: TimeSpan = TimeSpan::from_millis(300);
+const UNLOAD_NOTICE: TimeSpan = TimeSpan::from_millis(300);
 /// Largest number of moves started by one search.
-const MOVES_A_SEARCH: usize = 4;
+const MAX_MOVES_PER_SEARCH: usize = 4;
 /// Time for which a model without a copy may just be on its way back: endpoints
 /// list themselves within a heartbeat of their start.
-const LOST_PATIENCE: TimeSpan = TimeSpan::from_millis(2_500);
+const LOST_MODEL_TIMEOUT: TimeSpan = TimeSpan::from_millis(2_500);
 /// The same when requests ask for the model.
-const WANTED_PATIENCE: TimeSpan = TimeSpan::from_millis(250);
+const DEMANDED_MODEL_TIMEOUT: TimeSpan = TimeSpan::from_millis(250);
 /// Bound on concurrent loads, as a part of the store's rate times the longest
 /// load; beyond it the store slows all loads down.
-const STORE_LOAD_PART: f64 = 0.87;
+const STORE_CONCURRENCY_SHARE: f64 = 0.87;
 
 impl PlacementPlanner {
-    pub(super) fn carry_moves(
+    pub(super) fn advance_moves(
         &mut self,
         input: &PlannerInput<'_>,
         now: LocalTime,
@@ -59,9 +59,9 @@
             self.moves.remove(&entry.id);
             return None;
         }
-        let book = self.books.get(&entry.id)?;
-        let is_under_way = book.loading.is_some() || book.unloading.is_some();
-        if is_under_way || !book.is_idle(now) || book.order_count.is_none() {
+        let tracker = self.trackers.get(&entry.id)?;
+        let is_under_way = tracker.loading.is_some() || tracker.unloading.is_some();
+        if is_under_way || !tracker.is_idle(now) || tracker.order_count.is_none() {
             return None;
         }
         if now < task.unload_from {
@@ -77,7 +77,7 @@
         let needed = policy
             .model(&task.load)
             .map_or(0.0, |model| model.weights_mb);
-        if free_mb(policy, entry, book) < needed {
+        if free_mb(policy, entry, tracker) < needed {
             self.moves.remove(&entry.id);
             return None;
         }
@@ -95,7 +95,7 @@
     }
 
     /// Notes since when each model has been without a copy.
-    pub(super) fn note_lost(&mut self, input: &PlannerInput<'_>, now: LocalTime) {
+    pub(super) fn record_lost_models(&mut self, input: &PlannerInput<'_>, now: LocalTime) {
         for profile in &input.policy.models {
             let is_held = input
                 .endpoints
@@ -115,7 +115,7 @@
         now: LocalTime,
         effects: &mut Vec<PlannerEffect>,
     ) {
-        for _ in 0..MOVES_A_SEARCH {
+        for _ in 0..MAX_MOVES_PER_SEARCH {
             let view = self.view(input, now);
             let Some(chosen) = choose_move(&view) else {
                 return;
@@ -130,13 +130,13 @@
             let unload_from = if unload.is_empty() {
                 now
             } else {
-                now + CLOSING_NOTICE
+                now + UNLOAD_NOTICE
             };
             effects.push(PlannerEffect::MoveStarted {
                 endpoint: endpoint.clone(),
                 unload: unload.clone(),
                 load: model.id.clone(),
-                crowding_milli: (model.work * 1e3) as u64,
+                utilization_milli: (model.utilization * 1e3) as u64,
                 from_store: chosen.from_store,
             });
             let task = MoveTask {
@@ -153,35 +153,35 @@
 
     fn view(&self, input: &PlannerInput<'_>, now: LocalTime) -> PlacementView {
         let index_of = |id: &ModelId| input.policy.models.iter().position(|one| one.id == *id);
-        let is_patient = |id: &ModelId, is_wanted: bool| {
-            let patience = if is_wanted {
-                WANTED_PATIENCE
+        let is_return_expected = |id: &ModelId, has_demand: bool| {
+            let first_token_wait = if has_demand {
+                DEMANDED_MODEL_TIMEOUT
             } else {
-                LOST_PATIENCE
+                LOST_MODEL_TIMEOUT
             };
             let since = self.lost_since.get(id);
-            since.is_none_or(|at| now.since(*at) < patience)
+            since.is_none_or(|at| now.since(*at) < first_token_wait)
         };
         let models = input.policy.models.iter().map(|profile| {
-            let demand = input.demand.get(&EndpointKey::of(profile.id.as_str()));
+            let demand = input.demand.get(&NameHash::of(profile.id.as_str()));
             ModelView {
                 id: profile.id.clone(),
                 weights_mb: profile.weights_mb,
-                work: demand.copied().map_or(0.0, work_of),
-                is_wanted: demand.is_some(),
-                is_awaited: is_patient(&profile.id, demand.is_some()),
+                utilization: demand.copied().map_or(0.0, utilization),
+                has_demand: demand.is_some(),
+                is_return_expected: is_return_expected(&profile.id, demand.is_some()),
                 load_times: [profile.store_load, profile.disk_load, profile.memory_load],
             }
         });
         let models: Vec<ModelView> = models.collect();
         let engines = input.endpoints.iter().filter_map(|(entry, is_usable)| {
-            let book = self.books.get(&entry.id)?;
-            Some(self.engine_view(input.policy, entry, *is_usable, book, &index_of, now))
+            let tracker = self.trackers.get(&entry.id)?;
+            Some(self.engine_view(input.policy, entry, *is_usable, tracker, &index_of, now))
         });
         let store_loads = self.moves.values().filter(|task| task.from_store).count();
         let longest = input.policy.models.iter().map(|one| one.store_load).max();
         let seconds = longest.map_or(0.0, |span| span.micros() as f64 / 1e6);
-        let at_once = (input.policy.loads_per_s * seconds * STORE_LOAD_PART).max(1.0);
+        let at_once = (input.policy.loads_per_s * seconds * STORE_CONCURRENCY_SHARE).max(1.0);
         let is_unlimited = input.policy.loads_per_s <= 0.0;
         PlacementView {
             engines: engines.collect(),
@@ -195,14 +195,14 @@
         policy: &EnginePolicy,
         entry: &EndpointEntry,
         is_usable: bool,
-        book: &OrderBook,
+        tracker: &OrderTracker,
         index_of: &dyn Fn(&ModelId) -> Option<usize>,
         now: LocalTime,
     ) -> EngineView {
         let task = self.moves.get(&entry.id);
         let is_closing = |id: &ModelId| task.is_some_and(|task| task.unload.contains(id));
         let age = |id: &ModelId| {
-            let arrived_at = book.arrived_at.get(id).copied();
+            let arrived_at = tracker.arrived_at.get(id).copied();
             now.since(arrived_at.unwrap_or(LocalTime::ORIGIN))
         };
         let models: Vec<(usize, TimeSpan)> = entry
@@ -211,7 +211,7 @@
             .filter(|hosted| !is_closing(&hosted.id))
             .filter_map(|hosted| Some((index_of(&hosted.id)?, age(&hosted.id))))
             .collect();
-        let held = book.possible(entry);
+        let held = tracker.possible_models(entry);
         let staying = held.iter().filter(|id| !is_closing(id));
         let mut possible: Vec<usize> = staying.filter_map(index_of).collect();
         possible.extend(task.and_then(|task| index_of(&task.load)));
@@ -221,10 +221,10 @@
             id: entry.id.clone(),
             is_usable,
             is_moving: task.is_some()
-                || book.loading.is_some()
-                || book.unloading.is_some()
-                || book.needs_status(entry),
-            free_mb: free_mb(policy, entry, book),
+                || tracker.loading.is_some()
+                || tracker.unloading.is_some()
+                || tracker.needs_status(entry),
+            free_mb: free_mb(policy, entry, tracker),
             models,
             possible,
             in_memory: entry.in_memory.iter().filter_map(index_of).collect(),
@@ -234,9 +234,9 @@
 }
 
 /// Returns the memory that stays free even if all pending orders succeed.
-fn free_mb(policy: &EnginePolicy, entry: &EndpointEntry, book: &OrderBook) -> f64 {
+fn free_mb(policy: &EnginePolicy, entry: &EndpointEntry, tracker: &OrderTracker) -> f64 {
     let size = |id: &ModelId| policy.model(id).map_or(0.0, |model| model.weights_mb);
-    let held: f64 = book.possible(entry).iter().map(size).sum();
+    let held: f64 = tracker.possible_models(entry).iter().map(size).sum();
     let largest_adapter = policy
         .models
         .iter()
--- a/crates/clementinepond_dispatch/src/place/view.rs
+++ b/crates/clementinepond_dispatch/src/place/view.rs
@@ -31,11 +31,11 @@
     /// Size, in megabytes.
     pub weights_mb: f64,
     /// Engines that its demand keeps busy.
-    pub work: f64,
+    pub utilization: f64,
     /// Whether there is demand for it.
-    pub is_wanted: bool,
+    pub has_demand: bool,
     /// Whether a model without a copy is expected to return without a load.
-    pub is_awaited: bool,
+    pub is_return_expected: bool,
     /// Load time from the weight store, from disk and from host memory.
     pub load_times: [TimeSpan; 3],
 }
--- a/crates/clementinepond_dispatch/src/quota/account_bucket.rs
+++ b/crates/clementinepond_dispatch/src/quota/account_bucket.rs
@@ -4,7 +4,7 @@
 
 /// Refill that peers' use may take in advance, in seconds; bounds how long an
 /// account is refused after a partition heals.
-const DEBT_LIMIT_S: f64 = 10.0;
+const MAX_DEBT_S: f64 = 10.0;
 
 /// Bucket of one account; units are those of the account's quota.
 #[derive(Debug, Clone)]
@@ -45,10 +45,10 @@
     }
 
     /// Refills up to `now` with the part of the rate that this VM may count on.
-    pub fn refill(&mut self, part: f64, now: LocalTime) {
+    pub fn refill(&mut self, share: f64, now: LocalTime) {
         let passed = now.since(self.filled_at).micros() as f64 / 1e6;
         self.filled_at = now;
-        self.level = (self.level + passed * self.rate_per_s * part).min(self.burst);
+        self.level = (self.level + passed * self.rate_per_s * share).min(self.burst);
     }
 
     /// Takes units that may run now; refuses when the bucket lacks them.
@@ -64,12 +64,12 @@
 
     /// Counts units that ran at another VM.
     pub fn take_remote(&mut self, units: f64) {
-        let debt_limit = self.burst + self.rate_per_s * DEBT_LIMIT_S;
+        let debt_limit = self.burst + self.rate_per_s * MAX_DEBT_S;
         self.level = (self.level - units).max(-debt_limit);
     }
 
     /// Gives back units of a request that did not run.
-    pub fn give_back(&mut self, units: f64) {
+    pub fn refund(&mut self, units: f64) {
         self.level = (self.level + units).min(self.burst);
     }
 
--- a/crates/clementinepond_dispatch/src/quota/mod.rs
+++ b/crates/clementinepond_dispatch/src/quota/mod.rs
@@ -7,7 +7,7 @@
 //! the account's rate.
 
 mod account_bucket;
-mod quota_ledger;
+mod rate_limiter;
 
 pub use account_bucket::AccountBucket;
-pub use quota_ledger::{AccountFigures, QuotaLedger, QuotaVerdict};
+pub use rate_limiter::{AccountSnapshot, QuotaVerdict, RateLimiter};
--- a/crates/clementinepond_dispatch/src/select/engine_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/engine_choice.rs
@@ -7,30 +7,30 @@
 
 use crate::fleet::{EndpointEntry, TokenDemand};
 use crate::health::HealthGrade;
-use crate::ledger::{LoadShare, READ_TOKENS_PER_MS};
+use crate::load::{EndpointLoad, PREFILL_TOKENS_PER_MS};
 use clementinepond_types::TimeSpan;
 
 /// Time of one step of an engine, in milliseconds.
-const STEP_MS: f64 = 6.0;
+const DECODE_STEP_MS: f64 = 6.0;
 /// Time to load an adapter through the planner, in milliseconds.
 const ADAPTER_LOAD_MS: f64 = 35.0;
 /// Time to load an adapter where another one has to make way, in milliseconds.
 const ADAPTER_SWAP_MS: f64 = 400.0;
 /// Handicap of an engine in another data centre, in milliseconds.
-const DISTANCE_MS: f64 = 12.0;
+const REMOTE_PENALTY_MS: f64 = 12.0;
 /// Handicap of an engine that has left the list, in milliseconds.
-const MISSING_MS: f64 = 400.0;
+const UNLISTED_PENALTY_MS: f64 = 400.0;
 /// Time a slot stays taken on average when all are, in milliseconds.
-const SLOT_TURN_MS: f64 = 1_500.0;
+const SLOT_OCCUPANCY_MS: f64 = 1_500.0;
 /// Handicap of an engine whose memory is overbooked by a whole cache, in milliseconds.
-const MEMORY_OVERBOOKED_MS: f64 = 4_000.0;
+const KV_OVERCOMMIT_PENALTY_MS: f64 = 4_000.0;
 /// Share of an engine's memory up to which runs do not displace each other.
-const MEMORY_COMFORT: f64 = 0.9;
+const KV_CACHE_SOFT_LIMIT: f64 = 0.9;
 /// Share of the time left within which the first token has to be predicted.
-const TIME_SHARE: f64 = 0.6;
+const DEADLINE_SHARE: f64 = 0.6;
 /// Share of the caller's patience within which it has to be; predictions err
 /// by a tenth at long queues.
-const PATIENCE_SHARE: f64 = 0.85;
+const FIRST_TOKEN_WAIT_SHARE: f64 = 0.85;
 
 /// Whether an engine holds the adapter of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Has to be loaded first.
     Missing,
     /// Has to be loaded in the place of another one.
-    Crowded,
+    NeedsEviction,
 }
 
 /// One engine that holds the model.
@@ -49,9 +49,9 @@
     /// Description.
     pub endpoint: &'a EndpointEntry,
     /// Load that all VMs put on it.
-    pub load: LoadShare,
+    pub load: EndpointLoad,
     /// Prompt tokens that it still has to read for others.
-    pub unread_tokens: f64,
+    pub prefill_tokens: f64,
     /// Tokens of the prompt that it probably holds.
     pub cached_tokens: u64,
     /// How far it is trusted.
@@ -61,9 +61,9 @@
     /// Whether it is in the VM's data centre.
     pub is_local: bool,
     /// Whether it has left the list.
-    pub is_missing: bool,
+    pub is_unlisted: bool,
     /// Measured time over predicted time.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
 /// The request to place.
@@ -78,7 +78,7 @@
     /// Time that the caller still waits for the whole answer.
     pub time_left: TimeSpan,
     /// Time that it still waits for the first token.
-    pub patience: TimeSpan,
+    pub first_token_wait: TimeSpan,
 }
 
 /// What to do with a request.
@@ -107,19 +107,19 @@
         .tokens
         .prompt
         .saturating_sub(candidate.cached_tokens) as f64;
-    let reading = (candidate.unread_tokens + uncached) / READ_TOKENS_PER_MS + STEP_MS;
+    let reading = (candidate.prefill_tokens + uncached) / PREFILL_TOKENS_PER_MS + DECODE_STEP_MS;
     let over = f64::from((candidate.load.runs + 1).saturating_sub(request.slots));
-    let slot_wait = over * SLOT_TURN_MS / f64::from(request.slots.max(1));
+    let slot_wait = over * SLOT_OCCUPANCY_MS / f64::from(request.slots.max(1));
     let capacity = request.kv_capacity.max(1) as f64;
     let booked =
         (f64::from(candidate.load.context_tokens) + request.tokens.total() as f64) / capacity;
-    let memory_wait = (booked - MEMORY_COMFORT).max(0.0) * MEMORY_OVERBOOKED_MS;
+    let memory_wait = (booked - KV_CACHE_SOFT_LIMIT).max(0.0) * KV_OVERCOMMIT_PENALTY_MS;
     let adapter = match candidate.adapter {
         AdapterReadiness::Ready => 0.0,
         AdapterReadiness::Missing => ADAPTER_LOAD_MS,
-        AdapterReadiness::Crowded => ADAPTER_SWAP_MS,
+        AdapterReadiness::NeedsEviction => ADAPTER_SWAP_MS,
     };
-    reading * candidate.pace + slot_wait + memory_wait + adapter
+    reading * candidate.slowdown + slot_wait + memory_wait + adapter
 }
 
 /// Chooses an engine.
@@ -136,10 +136,10 @@
         let first_token = predict_first_token(candidate, request);
         let mut score = first_token;
         if !candidate.is_local {
-            score += DISTANCE_MS;
+            score += REMOTE_PENALTY_MS;
         }
-        if candidate.is_missing || candidate.grade == HealthGrade::Trial {
-            score += MISSING_MS;
+        if candidate.is_unlisted || candidate.grade == HealthGrade::Trial {
+            score += UNLISTED_PENALTY_MS;
         }
         if best.is_none_or(|(lowest, ..)| score < lowest) {
             best = Some((score, first_token, index));
@@ -148,10 +148,11 @@
     let Some((_, first_token, index)) = best else {
         return EngineVerdict::NoCopy;
     };
-    let time = request.time_left.millis() as f64 * TIME_SHARE;
-    let patience = time.min(request.patience.millis() as f64 * PATIENCE_SHARE);
-    if first_token > patience {
-        let excess = (first_token - patience).max(1.0);
+    let time = request.time_left.millis() as f64 * DEADLINE_SHARE;
+    let first_token_wait =
+        time.min(request.first_token_wait.millis() as f64 * FIRST_TOKEN_WAIT_SHARE);
+    if first_token > first_token_wait {
+        let excess = (first_token - first_token_wait).max(1.0);
         return EngineVerdict::Refuse {
             retry_after: TimeSpan::from_millis(excess as u64),
         };
--- a/crates/clementinepond_dispatch/src/select/mod.rs
+++ b/crates/clementinepond_dispatch/src/select/mod.rs
@@ -1,16 +1,16 @@
 //! Choice of the endpoint for one request.
 
-mod caller_patience;
 mod engine_choice;
-mod part_memory;
+mod prefix_cache_index;
 mod rendezvous;
 mod service_choice;
+mod stream_stall;
 
-pub use caller_patience::stream_patience;
 pub use engine_choice::{
     AdapterReadiness, EngineCandidate, EngineRequest, EngineVerdict, choose_engine,
     predict_first_token,
 };
-pub use part_memory::PartMemory;
+pub use prefix_cache_index::PrefixCacheIndex;
 pub use rendezvous::rendezvous_weight;
 pub use service_choice::{ServiceCandidate, ServiceVerdict, choose_service_endpoint};
+pub use stream_stall::stream_stall_timeout;
--- a/crates/clementinepond_dispatch/src/select/service_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/service_choice.rs
@@ -2,16 +2,16 @@
 
 use crate::fleet::EndpointEntry;
 use crate::health::HealthGrade;
-use crate::ledger::LoadShare;
+use crate::load::EndpointLoad;
 use clementinepond_types::TimeSpan;
 
 /// Handicap of an endpoint in another data centre, in milliseconds.
-const DISTANCE_MS: f64 = 3.0;
+const REMOTE_PENALTY_MS: f64 = 3.0;
 /// Handicap of an endpoint that has left the list, in milliseconds.
-const MISSING_MS: f64 = 300.0;
+const UNLISTED_PENALTY_MS: f64 = 300.0;
 /// Cost of each request that already runs there, in milliseconds; spreads
 /// requests over idle endpoints.
-const COMPANY_MS: f64 = 2.0;
+const RUNNING_REQUEST_PENALTY_MS: f64 = 2.0;
 
 /// One endpoint of a plain service.
 #[derive(Debug, Clone)]
@@ -19,15 +19,15 @@
     /// Description.
     pub endpoint: &'a EndpointEntry,
     /// Load that all VMs put on it.
-    pub load: LoadShare,
+    pub load: EndpointLoad,
     /// How far it is trusted.
     pub grade: HealthGrade,
     /// Whether it is in the VM's data centre.
     pub is_local: bool,
     /// Whether it has left the list.
-    pub is_missing: bool,
+    pub is_unlisted: bool,
     /// Measured time of one request, in milliseconds.
-    pub work_ms: f64,
+    pub service_time_ms: f64,
 }
 
 /// What to do with a request.
@@ -50,7 +50,7 @@
 fn wait_ms(candidate: &ServiceCandidate<'_>) -> f64 {
     let slots = candidate.endpoint.slots.max(1);
     let over = f64::from((candidate.load.runs + 1).saturating_sub(slots));
-    over * candidate.work_ms / f64::from(slots)
+    over * candidate.service_time_ms / f64::from(slots)
 }
 
 /// Chooses an endpoint for a request whose caller waits `time_left`.
@@ -67,12 +67,13 @@
         if candidate.grade > best_grade {
             continue;
         }
-        let mut score = wait_ms(candidate) + COMPANY_MS * f64::from(candidate.load.runs);
+        let mut score =
+            wait_ms(candidate) + RUNNING_REQUEST_PENALTY_MS * f64::from(candidate.load.runs);
         if !candidate.is_local {
-            score += DISTANCE_MS;
+            score += REMOTE_PENALTY_MS;
         }
-        if candidate.is_missing {
-            score += MISSING_MS;
+        if candidate.is_unlisted {
+            score += UNLISTED_PENALTY_MS;
         }
         if best.is_none_or(|(lowest, _)| score < lowest) {
             best = Some((score, index));
@@ -82,7 +83,7 @@
         return ServiceVerdict::NoEndpoint;
     };
     let candidate = &candidates[index];
-    let needed = wait_ms(candidate) + candidate.work_ms;
+    let needed = wait_ms(candidate) + candidate.service_time_ms;
     let left = time_left.millis() as f64;
     if needed > left {
         let retry_after = TimeSpan::from_millis((needed - left).max(50.0) as u64);
--- a/crates/clementinepond_dispatch/src/select/caller_patience.rs
+++ b/crates/clementinepond_dispatch/src/select/stream_stall.rs
@@ -8,17 +8,17 @@
 
 /// Shortest silence after which a caller abandons a stream; the platform's
 /// interface defines it and the two factors below.
-const SILENCE_FLOOR: TimeSpan = TimeSpan::from_secs(2);
+const MIN_STALL_TIMEOUT: TimeSpan = TimeSpan::from_secs(2);
 /// Tolerated silence in multiples of the route's latency target.
-const TARGET_FACTOR: u64 = 4;
+const LATENCY_TARGET_FACTOR: u64 = 4;
 /// Tolerated silence in multiples of the route's pause target.
-const PAUSE_FACTOR: u64 = 8;
+const PAUSE_TARGET_FACTOR: u64 = 8;
 
 /// Returns the silence after which callers abandon a stream.
 #[must_use]
-pub fn stream_patience(route: &RoutePolicy) -> TimeSpan {
+pub fn stream_stall_timeout(route: &RoutePolicy) -> TimeSpan {
     let pause = route.pause_target.unwrap_or(TimeSpan::ZERO);
-    SILENCE_FLOOR
-        .max(route.latency_target.fraction(TARGET_FACTOR, 1))
-        .max(pause.fraction(PAUSE_FACTOR, 1))
+    MIN_STALL_TIMEOUT
+        .max(route.latency_target.fraction(LATENCY_TARGET_FACTOR, 1))
+        .max(pause.fraction(PAUSE_TARGET_FACTOR, 1))
 }
--- a/crates/clementinepond_dispatch/src/suspect/mod.rs
+++ b/crates/clementinepond_dispatch/src/suspect/mod.rs
@@ -10,7 +10,7 @@
 /// Crashes after which a request is refused.
 const CRASH_LIMIT: u32 = 2;
 /// Time for which a crash is held against a request.
-const CRASH_MEMORY: TimeSpan = TimeSpan::from_secs(120);
+const CRASH_RETENTION: TimeSpan = TimeSpan::from_secs(120);
 /// Largest number of fingerprints kept.
 const FINGERPRINT_LIMIT: usize = 4_096;
 
@@ -22,10 +22,10 @@
 
 impl CrashSuspects {
     /// Counts a crash; returns the number counted so far.
-    pub fn note_crash(&mut self, fingerprint: u64, now: LocalTime) -> u32 {
+    pub fn record_crash(&mut self, fingerprint: u64, now: LocalTime) -> u32 {
         if self.crashes.len() >= FINGERPRINT_LIMIT {
             self.crashes
-                .retain(|_, (_, at)| now.since(*at) < CRASH_MEMORY);
+                .retain(|_, (_, at)| now.since(*at) < CRASH_RETENTION);
         }
         let entry = self.crashes.entry(fingerprint).or_insert((0, now));
         entry.0 += 1;
@@ -35,9 +35,9 @@
 
     /// Tells whether a request is no longer sent anywhere.
     #[must_use]
-    pub fn is_condemned(&self, fingerprint: u64, now: LocalTime) -> bool {
+    pub fn is_blocked(&self, fingerprint: u64, now: LocalTime) -> bool {
         self.crashes
             .get(&fingerprint)
-            .is_some_and(|(count, at)| *count > CRASH_LIMIT && now.since(*at) < CRASH_MEMORY)
+            .is_some_and(|(count, at)| *count > CRASH_LIMIT && now.since(*at) < CRASH_RETENTION)
     }
 }
--- a/crates/clementinepond_dispatch/tests/directory.rs
+++ b/crates/clementinepond_dispatch/tests/directory.rs
@@ -35,7 +35,7 @@
 fn a_lapsed_entry_stays_in_use_until_its_grace_ends() {
     let mut directory = EndpointDirectory::default();
     directory.update(entry("e1", &[]), at(0));
-    directory.note_store_return(at(5_000));
+    directory.record_store_return(at(5_000));
     directory.remove(&"e1".parse().unwrap(), at(5_100));
     assert_eq!(usable(&directory, 7_000), 1);
     assert_eq!(usable(&directory, 7_400), 0);
--- a/crates/clementinepond_dispatch/tests/herd.rs
+++ b/crates/clementinepond_dispatch/tests/herd.rs
@@ -11,7 +11,7 @@
 
 use clementinepond_dispatch::fleet::{EndpointEntry, TokenDemand};
 use clementinepond_dispatch::health::HealthGrade;
-use clementinepond_dispatch::ledger::{EndpointKey, LoadLedger, LoadShare};
+use clementinepond_dispatch::load::{EndpointLoad, LoadTable, NameHash};
 use clementinepond_dispatch::select::{
     AdapterReadiness, EngineCandidate, EngineRequest, EngineVerdict, choose_engine,
     rendezvous_weight,
@@ -43,21 +43,21 @@
     format!("vm-{index}").parse().unwrap()
 }
 
-fn choose(ledger: &LoadLedger, engines: &[EndpointEntry], now: LocalTime) -> usize {
+fn choose(ledger: &LoadTable, engines: &[EndpointEntry], now: LocalTime) -> usize {
     let candidates: Vec<EngineCandidate<'_>> = engines
         .iter()
         .map(|endpoint| {
-            let key = EndpointKey::of(endpoint.id.as_str());
+            let key = NameHash::of(endpoint.id.as_str());
             EngineCandidate {
                 endpoint,
                 load: ledger.total(key),
-                unread_tokens: ledger.unread(key, now),
+                prefill_tokens: ledger.pending_prefill(key, now),
                 cached_tokens: 0,
                 grade: HealthGrade::Good,
                 adapter: AdapterReadiness::Ready,
                 is_local: true,
-                is_missing: false,
-                pace: 1.0,
+                is_unlisted: false,
+                slowdown: 1.0,
             }
         })
         .collect();
@@ -69,7 +69,7 @@
         slots: 64,
         kv_capacity: 10_000_000,
         time_left: TimeSpan::from_secs(60),
-        patience: TimeSpan::from_secs(60),
+        first_token_wait: TimeSpan::from_secs(60),
     };
     match choose_engine(&candidates, &request) {
         EngineVerdict::Send { index, .. } => index,
@@ -82,18 +82,18 @@
     let engines: Vec<EndpointEntry> = (0..ENGINES)
         .map(|index| entry(&format!("e{index}"), &["m0"]))
         .collect();
-    let mut ledgers: Vec<LoadLedger> = (0..VMS).map(|_| LoadLedger::default()).collect();
+    let mut ledgers: Vec<LoadTable> = (0..VMS).map(|_| LoadTable::default()).collect();
     let mut sent: VecDeque<Announcement> = VecDeque::new();
     let mut free_at = [0_u64; ENGINES];
     // Batches and memory have room throughout.
-    let share = LoadShare::default();
+    let share = EndpointLoad::default();
     let mut in_time = 0;
     for number in 0..REQUESTS {
         let micros = number * GAP_US;
         let now = LocalTime::from_micros(micros);
         while sent.front().is_some_and(|next| next.due <= now) {
             let Some(next) = sent.pop_front() else { break };
-            let key = EndpointKey::of(engines[next.engine].id.as_str());
+            let key = NameHash::of(engines[next.engine].id.as_str());
             let others = ledgers.iter_mut().enumerate();
             for (_, ledger) in others.filter(|(index, _)| *index != next.from) {
                 ledger.start_remote(&vm(next.from), key, share, UNCACHED, next.due);
@@ -101,9 +101,9 @@
         }
         let from = (rendezvous_weight(number, "caller") % VMS as u64) as usize;
         let engine = choose(&ledgers[from], &engines, now);
-        let key = EndpointKey::of(engines[engine].id.as_str());
+        let key = NameHash::of(engines[engine].id.as_str());
         ledgers[from].start(key, share);
-        ledgers[from].start_read(key, UNCACHED, now);
+        ledgers[from].start_prefill(key, UNCACHED, now);
         sent.push_back(Announcement {
             due: now + told_after,
             from,
@@ -114,7 +114,7 @@
             in_time += 1;
         }
         // The first token ends the VM's own count; one request is enough here.
-        ledgers[from].finish_read(key, UNCACHED);
+        ledgers[from].finish_prefill(key, UNCACHED);
         ledgers[from].finish(key, share);
     }
     f64::from(in_time) / REQUESTS as f64
@@ -130,31 +130,31 @@
 
 #[test]
 fn a_queue_drains_at_reading_speed() {
-    let mut ledger = LoadLedger::default();
-    let key = EndpointKey::of("e0");
-    let share = LoadShare {
+    let mut ledger = LoadTable::default();
+    let key = NameHash::of("e0");
+    let share = EndpointLoad {
         runs: 1,
         context_tokens: 9_000,
     };
     let start = LocalTime::from_micros(1_000_000);
     ledger.start_remote(&vm(1), key, share, 9_000, start);
-    assert_eq!(ledger.unread(key, start), 9_000.0);
+    assert_eq!(ledger.pending_prefill(key, start), 9_000.0);
     let later = start + TimeSpan::from_millis(100);
-    assert_eq!(ledger.unread(key, later), 6_000.0);
+    assert_eq!(ledger.pending_prefill(key, later), 6_000.0);
     // Own requests without a first token still count once the estimate is used up.
     ledger.start(key, share);
-    ledger.start_read(key, 500, later);
+    ledger.start_prefill(key, 500, later);
     let much_later = start + TimeSpan::from_secs(5);
-    assert_eq!(ledger.unread(key, much_later), 500.0);
-    ledger.finish_read(key, 500);
-    assert_eq!(ledger.unread(key, much_later), 0.0);
+    assert_eq!(ledger.pending_prefill(key, much_later), 500.0);
+    ledger.finish_prefill(key, 500);
+    assert_eq!(ledger.pending_prefill(key, much_later), 0.0);
 }
 
 #[test]
 fn regular_news_replace_what_was_told_at_once() {
-    let mut ledger = LoadLedger::default();
-    let key = EndpointKey::of("e0");
-    let share = LoadShare {
+    let mut ledger = LoadTable::default();
+    let key = NameHash::of("e0");
+    let share = EndpointLoad {
         runs: 1,
         context_tokens: 100,
     };
@@ -165,5 +165,5 @@
     ledger.set_peer(&vm(1), vec![(key, share)]);
     assert_eq!(ledger.total(key).runs, 1);
     ledger.forget_peer(&vm(1));
-    assert_eq!(ledger.total(key), LoadShare::default());
+    assert_eq!(ledger.total(key), EndpointLoad::default());
 }
--- a/crates/clementinepond_dispatch/tests/lease.rs
+++ b/crates/clementinepond_dispatch/tests/lease.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use clementinepond_dispatch::lease::{
-    DutyLease, LeaseEffect, LeaseEvent, LeaseRecord, SPAN, StoredLease,
+    LEASE_DURATION, LeaseEffect, LeaseEvent, LeaseRecord, PlacementLease, StoredLease,
 };
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use support::at;
@@ -16,8 +16,8 @@
     name.parse().unwrap()
 }
 
-fn lease(name: &str, incarnation: u64) -> DutyLease {
-    DutyLease::new(vm(name), incarnation, GAP, TimeSpan::ZERO, at(0))
+fn lease(name: &str, incarnation: u64) -> PlacementLease {
+    PlacementLease::new(vm(name), incarnation, GAP, TimeSpan::ZERO, at(0))
 }
 
 fn held_by(name: &str, incarnation: u64, revision: u64) -> StoredLease {
@@ -32,17 +32,17 @@
     }
 }
 
-fn tick(lease: &mut DutyLease, now: LocalTime) -> Vec<LeaseEffect> {
+fn tick(lease: &mut PlacementLease, now: LocalTime) -> Vec<LeaseEffect> {
     lease.reduce(
         LeaseEvent::Tick {
-            holder_heard: false,
+            holder_live: false,
             head_start: TimeSpan::ZERO,
         },
         now,
     )
 }
 
-fn acquire(lease: &mut DutyLease, stored: StoredLease, from: u64) -> u64 {
+fn acquire(lease: &mut PlacementLease, stored: StoredLease, from: u64) -> u64 {
     assert_eq!(tick(lease, at(from)), [LeaseEffect::Read]);
     lease.reduce(LeaseEvent::Read(stored), at(from + 4));
     for millis in (from + 100..from + 10_000).step_by(100) {
@@ -58,7 +58,7 @@
 
 /// Makes the state of a VM that took over an object that nobody held; returns
 /// the moment at which it did, in milliseconds.
-fn held_lease() -> (DutyLease, u64) {
+fn held_lease() -> (PlacementLease, u64) {
     let mut lease = lease("vm-1", 1);
     let empty = StoredLease {
         revision: 0,
@@ -78,7 +78,7 @@
 fn a_successor_waits_for_a_whole_span_and_then_the_gap() {
     let mut lease = lease("vm-2", 2);
     let taken = acquire(&mut lease, held_by("vm-1", 1, 50), 0);
-    assert!(taken >= SPAN.millis(), "taken after {taken} ms");
+    assert!(taken >= LEASE_DURATION.millis(), "taken after {taken} ms");
     assert_eq!(lease.fence(at(taken + 10)), None);
     let mut fence = None;
     let mut millis = taken;
@@ -119,7 +119,7 @@
 #[test]
 fn authority_ends_without_renewal_even_if_no_timer_fires() {
     let (lease, taken) = held_lease();
-    let end = taken + SPAN.millis();
+    let end = taken + LEASE_DURATION.millis();
     assert!(lease.fence(at(end - 400)).is_some());
     // A suspended VM wakes up after its span.
     assert_eq!(lease.fence(at(end)), None);
@@ -133,7 +133,7 @@
     let effects = tick(&mut lease, at(sent));
     assert!(matches!(effects.first(), Some(LeaseEffect::Write { .. })));
     lease.reduce(LeaseEvent::Written { revision: 11 }, at(sent + 800));
-    let end = sent + SPAN.millis();
+    let end = sent + LEASE_DURATION.millis();
     assert!(lease.fence(at(end - 400)).is_some());
     assert_eq!(lease.fence(at(end - 200)), None);
 }
@@ -177,11 +177,11 @@
     tick(&mut lease, at(0));
     lease.reduce(LeaseEvent::Read(held_by("vm-1", 1, 50)), at(4));
     assert_eq!(tick(&mut lease, at(300)), []);
-    let lapsed = LeaseEvent::Lapsed {
+    let expired = LeaseEvent::Expired {
         vm: vm("vm-1"),
         last_order: at(0),
     };
-    lease.reduce(lapsed, at(350));
+    lease.reduce(expired, at(350));
     let effects = tick(&mut lease, at(500));
     assert!(matches!(
         effects.first(),
@@ -210,11 +210,11 @@
 #[test]
 fn a_lapse_heard_before_the_reading_proves_nothing() {
     let mut lease = lease("vm-2", 2);
-    let lapsed = LeaseEvent::Lapsed {
+    let expired = LeaseEvent::Expired {
         vm: vm("vm-1"),
         last_order: at(0),
     };
-    lease.reduce(lapsed, at(0));
+    lease.reduce(expired, at(0));
     tick(&mut lease, at(10));
     lease.reduce(LeaseEvent::Read(held_by("vm-1", 1, 50)), at(14));
     // The holder may have renewed since it spoke.
--- a/crates/clementinepond_dispatch/tests/limits.rs
+++ b/crates/clementinepond_dispatch/tests/limits.rs
@@ -6,7 +6,7 @@
 
 use clementinepond_dispatch::budget::RetryBudget;
 use clementinepond_dispatch::fleet::{AccountPolicy, QuotaUnit};
-use clementinepond_dispatch::quota::{QuotaLedger, QuotaVerdict};
+use clementinepond_dispatch::quota::{QuotaVerdict, RateLimiter};
 use clementinepond_dispatch::select::rendezvous_weight;
 use clementinepond_types::TimeSpan;
 use support::at;
@@ -17,7 +17,7 @@
         keys: Vec::new(),
         priority: None,
         unit: QuotaUnit::Tokens,
-        plain_cost: 1,
+        default_cost: 1,
         rate_per_s,
         burst,
     }
@@ -26,7 +26,7 @@
 /// Plays VMs that all take as much as they may; returns the units taken.
 fn play(vms: usize, seconds: u64, links: impl Fn(u64, usize, usize) -> bool) -> f64 {
     let policy = account(1_000.0, 1_000.0);
-    let mut ledgers: Vec<QuotaLedger> = (0..vms).map(|_| QuotaLedger::new()).collect();
+    let mut ledgers: Vec<RateLimiter> = (0..vms).map(|_| RateLimiter::new()).collect();
     let mut taken = vec![0.0; vms];
     let mut told = vec![vec![0.0; vms]; vms];
     for step in 0..seconds * 100 {
@@ -46,10 +46,10 @@
                     heard += 1;
                     let units = taken[from] - told[to][from];
                     told[to][from] = taken[from];
-                    ledgers[to].note_remote(&policy, units, now);
+                    ledgers[to].record_remote(&policy, units, now);
                 }
             }
-            ledgers[to].set_contact(heard, vms - 1, now);
+            ledgers[to].set_live_peers(heard, vms - 1, now);
         }
     }
     taken.iter().sum()
@@ -74,7 +74,7 @@
 
 #[test]
 fn a_lower_quota_binds_at_once() {
-    let mut ledger = QuotaLedger::new();
+    let mut ledger = RateLimiter::new();
     assert_eq!(
         ledger.charge(&account(1_000.0, 1_000.0), 900.0, false, at(0)),
         QuotaVerdict::Within
@@ -93,7 +93,7 @@
 #[test]
 fn a_refunded_request_costs_nothing() {
     let policy = account(1.0, 1_000.0);
-    let mut ledger = QuotaLedger::new();
+    let mut ledger = RateLimiter::new();
     for step in 0..50 {
         assert_eq!(
             ledger.charge(&policy, 1_000.0, false, at(step)),
@@ -110,17 +110,17 @@
     let mut budgets: Vec<RetryBudget> = (0..vms)
         .map(|_| RetryBudget::new(0.2, 52.0, window))
         .collect();
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     let mut requests = Vec::new();
     for step in 0..3_000_u64 {
         let now = at(step * 10);
         for budget in &mut budgets {
             if step % 20 == 0 {
-                budget.note_request(now);
+                budget.record_request(now);
                 requests.push(step * 10);
             }
-            if budget.take_repeat(vms, now) {
-                repeats.push(step * 10);
+            if budget.take_retry(vms, now) {
+                retries.push(step * 10);
             }
         }
     }
@@ -131,7 +131,7 @@
                 .count()
         };
         let allowed = 0.2 * within(&requests) as f64 + 52.0;
-        assert!(within(&repeats) as f64 <= allowed, "window from {start}");
+        assert!(within(&retries) as f64 <= allowed, "window from {start}");
     }
 }
 
@@ -141,8 +141,8 @@
     let vms = 85;
     let mut taken = 0.0;
     for _ in 0..vms {
-        let mut ledger = QuotaLedger::new();
-        ledger.set_contact(vms - 1, vms - 1, at(0));
+        let mut ledger = RateLimiter::new();
+        ledger.set_live_peers(vms - 1, vms - 1, at(0));
         // Each VM asks for six times its even part during the first second.
         for step in 0..7 {
             if ledger.charge(&policy, 9_000.0, false, at(step * 140)) == QuotaVerdict::Within {
@@ -160,9 +160,9 @@
     const VMS: usize = 60;
     const COST: f64 = 9_000.0;
     let policy = account(90_000.0, 90_000.0);
-    let mut ledgers: Vec<QuotaLedger> = (0..VMS).map(|_| QuotaLedger::new()).collect();
+    let mut ledgers: Vec<RateLimiter> = (0..VMS).map(|_| RateLimiter::new()).collect();
     for ledger in &mut ledgers {
-        ledger.set_contact(VMS - 1, VMS - 1, at(0));
+        ledger.set_live_peers(VMS - 1, VMS - 1, at(0));
     }
     let gap_ms = COST / (policy.rate_per_s * asked_of_rate) * 1e3;
     let count = (seconds as f64 * 1e3 / gap_ms) as u64;
@@ -177,7 +177,7 @@
         taken += COST;
         for (index, ledger) in ledgers.iter_mut().enumerate() {
             if index != vm {
-                ledger.note_remote(&policy, COST, at(millis + 3));
+                ledger.record_remote(&policy, COST, at(millis + 3));
             }
         }
     }
@@ -204,11 +204,11 @@
 fn an_account_within_its_rate_is_refused_where_announcements_come_late() {
     // What the shares of the fallback cost; they stay for fleets in pieces.
     let policy = account(90_000.0, 90_000.0);
-    let mut ledger = QuotaLedger::new();
-    ledger.set_contact(59, 59, at(0));
+    let mut ledger = RateLimiter::new();
+    ledger.set_live_peers(59, 59, at(0));
     let mut asked = fnv::FnvHashMap::default();
     asked.insert(policy.id.clone(), 80_000.0);
-    ledger.set_asked_elsewhere(asked);
+    ledger.set_remote_demand(asked);
     let refused = (0..20)
         .any(|step| ledger.charge(&policy, 9_000.0, false, at(step * 100)) != QuotaVerdict::Within);
     assert!(refused);
--- a/crates/clementinepond_dispatch/tests/peers.rs
+++ b/crates/clementinepond_dispatch/tests/peers.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use clementinepond_dispatch::peer::{AccountNews, PeerNews, PeerTable};
+use clementinepond_dispatch::peer::{AccountUsage, PeerHeartbeat, PeerTable};
 use clementinepond_types::VmId;
 use std::net::SocketAddrV4;
 use support::at;
@@ -17,8 +17,8 @@
     "10.0.0.1:7600".parse().unwrap()
 }
 
-fn news(number: u64, link_mbps: u32) -> Box<PeerNews> {
-    Box::new(PeerNews {
+fn news(number: u64, link_mbps: u32) -> Box<PeerHeartbeat> {
+    Box::new(PeerHeartbeat {
         incarnation: 1,
         number,
         data_centre: "dc-a".parse().unwrap(),
@@ -27,8 +27,8 @@
         link_mbps,
         has_store: true,
         store_age_ms: 0,
-        duty: None,
-        lapsed_order_age_ms: None,
+        lease_fence: None,
+        expired_order_age_ms: None,
         accounts: Vec::new(),
         loads: Vec::new(),
         demand: Vec::new(),
@@ -42,7 +42,7 @@
         .map(|me| {
             let mut table = PeerTable::default();
             for (other, &link) in links.iter().enumerate().filter(|(other, _)| *other != me) {
-                table.note_news(&vm(other), address(), news(1, link), at(0));
+                table.record_heartbeat(&vm(other), address(), news(1, link), at(0));
             }
             table
         })
@@ -80,7 +80,7 @@
         if me != lost {
             let mut failing = news(2, 100);
             failing.has_store = false;
-            table.note_news(&vm(lost), address(), failing, at(5));
+            table.record_heartbeat(&vm(lost), address(), failing, at(5));
         }
     }
     let now = watchers(&tables, &links);
@@ -91,10 +91,10 @@
 #[test]
 fn a_silent_peer_is_not_heard_and_later_forgotten() {
     let mut table = fleet(&[100; 3]).remove(0);
-    assert_eq!(table.contact(at(100)), (2, 2));
-    assert_eq!(table.contact(at(3_000)), (0, 2));
+    assert_eq!(table.peer_counts(at(100)), (2, 2));
+    assert_eq!(table.peer_counts(at(3_000)), (0, 2));
     assert_eq!(table.sweep(at(30_000)).len(), 2);
-    assert_eq!(table.contact(at(30_000)), (0, 0));
+    assert_eq!(table.peer_counts(at(30_000)), (0, 0));
 }
 
 #[test]
@@ -103,16 +103,16 @@
     let with = |number: u64, incarnation: u64, admitted: u64| {
         let mut news = news(number, 100);
         news.incarnation = incarnation;
-        news.accounts = vec![AccountNews {
+        news.accounts = vec![AccountUsage {
             account: "desk".parse().unwrap(),
             admitted,
-            asked_per_s: 1,
+            requested_per_s: 1,
             level: 5,
         }];
         news
     };
-    let mut units = |news: Box<PeerNews>| {
-        let uses = table.note_news(&vm(1), address(), news, at(0));
+    let mut units = |news: Box<PeerHeartbeat>| {
+        let uses = table.record_heartbeat(&vm(1), address(), news, at(0));
         uses.map(|uses| uses[0].units)
     };
     assert_eq!(units(with(1, 1, 100)), Some(100.0));
@@ -127,47 +127,47 @@
     let desk = "desk".parse().unwrap();
     let mut first = news(1, 100);
     first.incarnation = 7;
-    first.accounts = vec![AccountNews {
+    first.accounts = vec![AccountUsage {
         account: "desk".parse().unwrap(),
         admitted: 100,
-        asked_per_s: 1,
+        requested_per_s: 1,
         level: -5,
     }];
     // A process that has sent no news yet tells its use in them.
-    assert_eq!(table.note_admitted(&vm(1), 7, &desk, 90), None);
-    table.note_news(&vm(1), address(), first, at(0));
-    assert_eq!(table.note_admitted(&vm(1), 7, &desk, 130), Some(30.0));
-    assert_eq!(table.note_admitted(&vm(1), 7, &desk, 130), Some(0.0));
+    assert_eq!(table.record_admitted(&vm(1), 7, &desk, 90), None);
+    table.record_heartbeat(&vm(1), address(), first, at(0));
+    assert_eq!(table.record_admitted(&vm(1), 7, &desk, 130), Some(30.0));
+    assert_eq!(table.record_admitted(&vm(1), 7, &desk, 130), Some(0.0));
     // A refund, and another process under the same name.
-    assert_eq!(table.note_admitted(&vm(1), 7, &desk, 110), Some(-20.0));
-    assert_eq!(table.note_admitted(&vm(1), 8, &desk, 500), None);
+    assert_eq!(table.record_admitted(&vm(1), 7, &desk, 110), Some(-20.0));
+    assert_eq!(table.record_admitted(&vm(1), 8, &desk, 500), None);
 }
 
 #[test]
 fn a_vm_is_current_while_it_hears_most_of_the_fleet() {
     let mut table = PeerTable::default();
-    assert!(table.is_current(at(0)));
+    assert!(table.is_usage_fresh(at(0)));
     for index in 1..=8 {
         table.learn(&vm(index), address(), at(0));
     }
     // Heard of is not heard.
-    assert!(!table.is_current(at(0)));
+    assert!(!table.is_usage_fresh(at(0)));
     for index in 1..=8 {
-        table.note_news(&vm(index), address(), news(1, 100), at(0));
+        table.record_heartbeat(&vm(index), address(), news(1, 100), at(0));
     }
-    assert!(table.is_current(at(400)));
+    assert!(table.is_usage_fresh(at(400)));
     for index in 1..=6 {
-        table.note_heard(&vm(index), 1, at(900));
+        table.record_contact(&vm(index), 1, at(900));
     }
-    assert!(table.is_current(at(1_000)));
+    assert!(table.is_usage_fresh(at(1_000)));
     // Two more fall silent.
     for index in 1..=4 {
-        table.note_heard(&vm(index), 1, at(1_900));
+        table.record_contact(&vm(index), 1, at(1_900));
     }
-    assert!(!table.is_current(at(2_000)));
+    assert!(!table.is_usage_fresh(at(2_000)));
     // Another process under the same name does not count.
     for index in 5..=8 {
-        table.note_heard(&vm(index), 99, at(2_000));
+        table.record_contact(&vm(index), 99, at(2_000));
     }
-    assert!(!table.is_current(at(2_000)));
+    assert!(!table.is_usage_fresh(at(2_000)));
 }
--- a/crates/clementinepond_dispatch/tests/placement.rs
+++ b/crates/clementinepond_dispatch/tests/placement.rs
@@ -5,13 +5,13 @@
 use clementinepond_dispatch::place::{EngineView, ModelView, PlacementView, choose_move};
 use clementinepond_types::TimeSpan;
 
-fn model(name: &str, work: f64) -> ModelView {
+fn model(name: &str, utilization: f64) -> ModelView {
     ModelView {
         id: name.parse().unwrap(),
         weights_mb: 70_000.0,
-        work,
-        is_wanted: work > 0.0,
-        is_awaited: false,
+        utilization,
+        has_demand: utilization > 0.0,
+        is_return_expected: false,
         load_times: [
             TimeSpan::from_millis(4_200),
             TimeSpan::from_millis(900),
@@ -54,7 +54,7 @@
 #[test]
 fn a_lost_model_that_is_on_its_way_back_is_left_alone() {
     let mut awaited = model("m1", 0.0);
-    awaited.is_awaited = true;
+    awaited.is_return_expected = true;
     let models = vec![model("m0", 0.01), awaited];
     assert_eq!(
         choose_move(&view(vec![engine("e1", &[0], 80_000.0)], models)),
--- a/crates/clementinepond_dispatch/tests/planner.rs
+++ b/crates/clementinepond_dispatch/tests/planner.rs
@@ -9,7 +9,7 @@
 mod support;
 
 use clementinepond_dispatch::fleet::{EndpointEntry, EnginePolicy};
-use clementinepond_dispatch::ledger::EndpointKey;
+use clementinepond_dispatch::load::NameHash;
 use clementinepond_dispatch::peer::ModelDemand;
 use clementinepond_dispatch::place::{
     EndpointOrder, EndpointStatus, OrderReply, PlacementPlanner, PlannerEffect, PlannerInput,
@@ -24,7 +24,7 @@
     planner: PlacementPlanner,
     policy: EnginePolicy,
     endpoints: Vec<EndpointEntry>,
-    demand: FnvHashMap<EndpointKey, ModelDemand>,
+    demand: FnvHashMap<NameHash, ModelDemand>,
 }
 
 impl Bench {
@@ -42,7 +42,7 @@
             prefill_per_s,
             output_per_s: 0.0,
         };
-        self.demand.insert(EndpointKey::of(name), demand);
+        self.demand.insert(NameHash::of(name), demand);
     }
 
     fn step(&mut self, millis: u64) -> Vec<PlannerEffect> {
@@ -87,12 +87,12 @@
             waiting: 0,
         };
         self.planner
-            .note_status(&id, &status, at(asked), at(asked + 5));
+            .record_status(&id, &status, at(asked), at(asked + 5));
     }
 
     fn reply(&mut self, sent: &SentOrder, reply: OrderReply, millis: u64) {
         self.planner
-            .note_reply(&sent.endpoint, &sent.order, reply, at(millis));
+            .record_reply(&sent.endpoint, &sent.order, reply, at(millis));
     }
 }
 
@@ -169,7 +169,7 @@
         let adapter = name.parse().unwrap();
         bench
             .planner
-            .want_adapter(&vm, &endpoint, &model("m0"), &adapter, at(millis));
+            .request_adapter(&vm, &endpoint, &model("m0"), &adapter, at(millis));
         let (sent_at, mut sent) = bench.next_order(millis, millis + 1_000).unwrap();
         millis = sent_at;
         if let EndpointOrder::UnloadAdapter(..) = sent.order {
@@ -198,7 +198,7 @@
         let adapter = name.parse().unwrap();
         bench
             .planner
-            .want_adapter(&vm, &endpoint, &model("m0"), &adapter, at(720));
+            .request_adapter(&vm, &endpoint, &model("m0"), &adapter, at(720));
     }
     let mut held = 0_i32;
     let mut millis = 720;
--- a/crates/clementinepond_dispatch/tests/select.rs
+++ b/crates/clementinepond_dispatch/tests/select.rs
@@ -10,10 +10,10 @@
 
 use clementinepond_dispatch::fleet::{EndpointEntry, TokenDemand};
 use clementinepond_dispatch::health::HealthGrade;
-use clementinepond_dispatch::ledger::LoadShare;
+use clementinepond_dispatch::load::EndpointLoad;
 use clementinepond_dispatch::select::{
     AdapterReadiness, EngineCandidate, EngineRequest, EngineVerdict, choose_engine,
-    rendezvous_weight, stream_patience,
+    rendezvous_weight, stream_stall_timeout,
 };
 use clementinepond_types::TimeSpan;
 use support::entry;
@@ -28,14 +28,14 @@
 fn candidate(endpoint: &EndpointEntry) -> EngineCandidate<'_> {
     EngineCandidate {
         endpoint,
-        load: LoadShare::default(),
-        unread_tokens: 0.0,
+        load: EndpointLoad::default(),
+        prefill_tokens: 0.0,
         cached_tokens: 0,
         grade: HealthGrade::Good,
         adapter: AdapterReadiness::Ready,
         is_local: true,
-        is_missing: false,
-        pace: 1.0,
+        is_unlisted: false,
+        slowdown: 1.0,
     }
 }
 
@@ -48,7 +48,7 @@
         slots: 64,
         kv_capacity: 270_000,
         time_left: TimeSpan::from_millis(time_left_ms),
-        patience: TimeSpan::from_secs(60),
+        first_token_wait: TimeSpan::from_secs(60),
     }
 }
 
@@ -111,7 +111,7 @@
         .map(|(index, engine)| {
             let mut one = candidate(&engine.entry);
             let queued = (engine.free_at_ms - now).max(0.0) * READ_PER_MS;
-            one.unread_tokens = queued;
+            one.prefill_tokens = queued;
             one.cached_tokens = match order.iter().position(|&owner| owner == index) {
                 Some(0) => PROMPT.0 * 85 / 100,
                 Some(1) => PROMPT.0 * 70 / 100,
@@ -150,7 +150,7 @@
 fn a_request_that_cannot_start_in_time_is_refused_at_once_with_the_time_to_come_back() {
     let endpoint = entry("e1", &["m0"]);
     let mut full = candidate(&endpoint);
-    full.unread_tokens = 300_000.0;
+    full.prefill_tokens = 300_000.0;
     let EngineVerdict::Refuse { retry_after } = choose_engine(&[full], &request(5_000)) else {
         panic!("ten seconds of queue before a caller who waits five");
     };
@@ -165,11 +165,11 @@
         entry("e3", &["m0"]),
     );
     let mut crowded = candidate(&first);
-    crowded.adapter = AdapterReadiness::Crowded;
+    crowded.adapter = AdapterReadiness::NeedsEviction;
     let mut missing = candidate(&second);
     missing.adapter = AdapterReadiness::Missing;
     let mut ready = candidate(&third);
-    ready.unread_tokens = 600.0;
+    ready.prefill_tokens = 600.0;
     let choose =
         |candidates: &[EngineCandidate<'_>]| match choose_engine(candidates, &request(5_000)) {
             EngineVerdict::Send { index, .. } => index,
@@ -188,7 +188,7 @@
     let mut ejected = candidate(&first);
     ejected.grade = HealthGrade::Ejected;
     let mut busy = candidate(&second);
-    busy.unread_tokens = 20_000.0;
+    busy.prefill_tokens = 20_000.0;
     let verdict = choose_engine(&[ejected.clone(), busy], &request(5_000));
     assert!(matches!(verdict, EngineVerdict::Send { index: 1, .. }));
     let verdict = choose_engine(&[ejected], &request(5_000));
@@ -206,13 +206,13 @@
     // though its deadline is far off.
     let endpoint = entry("e1", &["m0"]);
     let mut busy = candidate(&endpoint);
-    busy.unread_tokens = 61_000.0;
+    busy.prefill_tokens = 61_000.0;
     let mut patient = request(15_000);
     assert!(matches!(
         choose_engine(&[busy.clone()], &patient),
         EngineVerdict::Send { .. }
     ));
-    patient.patience = TimeSpan::from_millis(2_400);
+    patient.first_token_wait = TimeSpan::from_millis(2_400);
     let EngineVerdict::Refuse { retry_after } = choose_engine(&[busy], &patient) else {
         panic!("sent though the caller leaves before the first token");
     };
@@ -222,9 +222,9 @@
 #[test]
 fn callers_wait_four_times_the_objective_or_eight_pauses() {
     let mut route = support::route(TimeSpan::from_millis(400));
-    assert_eq!(stream_patience(&route), TimeSpan::from_secs(2));
+    assert_eq!(stream_stall_timeout(&route), TimeSpan::from_secs(2));
     route.pause_target = Some(TimeSpan::from_millis(300));
-    assert_eq!(stream_patience(&route), TimeSpan::from_millis(2_400));
+    assert_eq!(stream_stall_timeout(&route), TimeSpan::from_millis(2_400));
     route.latency_target = TimeSpan::from_secs(3);
-    assert_eq!(stream_patience(&route), TimeSpan::from_secs(12));
+    assert_eq!(stream_stall_timeout(&route), TimeSpan::from_secs(12));
 }
--- a/crates/clementinepond_dispatch/tests/support/mod.rs
+++ b/crates/clementinepond_dispatch/tests/support/mod.rs
@@ -7,7 +7,7 @@
 )]
 
 use clementinepond_dispatch::fleet::{
-    EndpointEntry, EndpointPhase, EnginePolicy, HostedModel, ModelProfile, RepeatRule, RoutePolicy,
+    EndpointEntry, EndpointPhase, EnginePolicy, HostedModel, ModelProfile, RetryRule, RoutePolicy,
     ServiceId,
 };
 use clementinepond_types::{LocalTime, ModelId, TimeSpan};
@@ -72,7 +72,7 @@
         name: "route".into(),
         host: "example".into(),
         path_prefix: "/".into(),
-        repeat: RepeatRule::Stream,
+        retry_rule: RetryRule::Stream,
         timeout: TimeSpan::from_secs(15),
         latency_target,
         pause_target: None,
--- a/crates/clementinepond_entry/src/caller/crash_probe.rs
+++ b/crates/clementinepond_entry/src/caller/crash_probe.rs
@@ -25,7 +25,7 @@
             .state
             .borrow_mut()
             .suspects
-            .note_crash(fingerprint, now);
+            .record_crash(fingerprint, now);
         log::info!(
             "event=crash_suspected endpoint={id} fingerprint={fingerprint:016x} count={count}"
         );
--- a/crates/clementinepond_entry/src/caller/gate.rs
+++ b/crates/clementinepond_entry/src/caller/gate.rs
@@ -6,10 +6,10 @@
 use crate::node::EntryNode;
 use bytes::Bytes;
 use clementinepond_dispatch::fleet::{
-    EnginePolicy, QuotaUnit, RepeatRule, RequestProfile, RoutePolicy, ServiceId,
+    EnginePolicy, QuotaUnit, RequestProfile, RetryRule, RoutePolicy, ServiceId,
 };
 use clementinepond_dispatch::quota::QuotaVerdict;
-use clementinepond_dispatch::select::stream_patience;
+use clementinepond_dispatch::select::stream_stall_timeout;
 use clementinepond_dispatch::table::{KeyCheck, RouteTable, pick_service};
 use clementinepond_platform::{KeyText, read_key};
 use clementinepond_types::{AccountId, LocalTime, TimeSpan};
@@ -50,11 +50,11 @@
     }
 
     pub(crate) fn may_repeat(&self) -> bool {
-        self.route.repeat.may_repeat()
+        self.route.retry_rule.may_retry()
     }
 
     pub(crate) fn is_stream(&self) -> bool {
-        self.route.repeat.is_stream()
+        self.route.retry_rule.is_stream()
     }
 
     /// Returns the moment at which a caller leaves that has got nothing since
@@ -62,7 +62,7 @@
     pub(crate) fn patience_end(&self, silent_since: LocalTime) -> LocalTime {
         if self.is_stream() {
             self.deadline
-                .min(silent_since + stream_patience(&self.route))
+                .min(silent_since + stream_stall_timeout(&self.route))
         } else {
             self.deadline
         }
@@ -88,7 +88,7 @@
     };
     let route = find_route(node, &table, &parts, arrival)?.clone();
     let account = check_key(node, &table, &route, &parts, arrival)?;
-    let patience = profile.patience.unwrap_or(route.timeout);
+    let patience = profile.timeout.unwrap_or(route.timeout);
     let deadline = arrival + patience.min(route.timeout);
     let limits = &table.policy().limits;
     if body.size_hint().lower() > limits.body_bytes as u64 {
@@ -193,11 +193,11 @@
     };
     let units = match (policy.unit, profile.tokens) {
         (QuotaUnit::Tokens, Some(tokens)) => tokens.total(),
-        (QuotaUnit::Tokens | QuotaUnit::Requests, _) => policy.plain_cost,
+        (QuotaUnit::Tokens | QuotaUnit::Requests, _) => policy.default_cost,
     } as f64;
     let now = BootClock::now();
     let mut state = node.state.borrow_mut();
-    let is_current = state.peers.is_current(now);
+    let is_current = state.peers.is_usage_fresh(now);
     match state.quotas.charge(policy, units, is_current, now) {
         QuotaVerdict::Within => Ok(units),
         QuotaVerdict::Over { retry_after } => {
@@ -226,5 +226,5 @@
 
 /// Tells whether the answer of a request is a stream that may be resumed.
 pub(crate) fn is_resumable(request: &AdmittedRequest) -> bool {
-    request.route.repeat == RepeatRule::ResumableStream
+    request.route.retry_rule == RetryRule::ResumableStream
 }
--- a/crates/clementinepond_entry/src/caller/relay.rs
+++ b/crates/clementinepond_entry/src/caller/relay.rs
@@ -9,7 +9,7 @@
 use crate::http::ConnectFailure;
 use crate::node::{EntryNode, PickQuery, PickedEndpoint, RefusalCause, increment};
 use clementinepond_dispatch::health::EndpointOutcome;
-use clementinepond_dispatch::ledger::EndpointKey;
+use clementinepond_dispatch::load::NameHash;
 use clementinepond_platform::AttemptHeaders;
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan};
 use hyper::StatusCode;
@@ -110,11 +110,11 @@
         let now = BootClock::now();
         let mut guard = self.node.state.borrow_mut();
         let state = &mut *guard;
-        let vms = state.peers.contact(now).1 + 1;
+        let vms = state.peers.peer_counts(now).1 + 1;
         let paid = state
             .budgets
             .get_mut(&self.request.service)
-            .is_some_and(|budget| budget.take_repeat(vms, now));
+            .is_some_and(|budget| budget.take_retry(vms, now));
         drop(guard);
         if paid {
             increment(&self.node.stats.repeats);
@@ -306,8 +306,8 @@
         if let (false, StatusCode::MISDIRECTED_REQUEST, Some(target)) =
             (is_stranger, status, &self.request.profile.target)
         {
-            let endpoint = EndpointKey::of(picked.id.as_str());
-            let model = EndpointKey::of(target.model.as_str());
+            let endpoint = NameHash::of(picked.id.as_str());
+            let model = NameHash::of(target.model.as_str());
             let now = BootClock::now();
             let mut state = self.node.state.borrow_mut();
             state.placement.note_absent(endpoint, model, now);
@@ -414,7 +414,7 @@
         let Some(target) = &self.request.profile.target else {
             return false;
         };
-        let model = EndpointKey::of(target.model.as_str());
+        let model = NameHash::of(target.model.as_str());
         let now = BootClock::now();
         let left = now.until(self.request.deadline);
         let half = now + left.fraction(COPY_WAIT_PARTS.0, COPY_WAIT_PARTS.1);
--- a/crates/clementinepond_entry/src/caller/serve_request.rs
+++ b/crates/clementinepond_entry/src/caller/serve_request.rs
@@ -7,7 +7,7 @@
 use crate::clock::BootClock;
 use crate::node::{EntryNode, increment};
 use clementinepond_dispatch::budget::RetryBudget;
-use clementinepond_dispatch::ledger::EndpointKey;
+use clementinepond_dispatch::load::NameHash;
 use clementinepond_platform::read_request;
 use clementinepond_types::{LocalTime, ModelId, RequestId, TimeSpan};
 use hyper::body::Incoming;
@@ -79,7 +79,7 @@
         .state
         .borrow()
         .suspects
-        .is_condemned(request.fingerprint, now)
+        .is_blocked(request.fingerprint, now)
     {
         refund(node, &request);
         return Err(OwnAnswer::NotRun(
@@ -131,15 +131,15 @@
             let window = TimeSpan::from_millis((retry.window_s * 1e3) as u64);
             RetryBudget::new(retry.ratio, retry.allowance, window)
         })
-        .note_request(now);
+        .record_request(now);
     if let Some(target) = &request.profile.target {
         let tokens = request.profile.tokens.unwrap_or_default();
         let output = request.profile.output_hint.unwrap_or(tokens.output / 2);
         let prefill = (tokens.prompt as f64 * UNCACHED_SHARE) as u64;
-        let model = EndpointKey::of(target.model.as_str());
+        let model = NameHash::of(target.model.as_str());
         state
             .demand
-            .note(model, prefill, output.min(tokens.output), now);
+            .record(model, prefill, output.min(tokens.output), now);
     }
 }
 
--- a/crates/clementinepond_entry/src/duty/lease_task.rs
+++ b/crates/clementinepond_entry/src/duty/lease_task.rs
@@ -5,7 +5,7 @@
 use crate::settings::CapacitySettings;
 use crate::store::{StoreClient, WriteOutcome};
 use clementinepond_dispatch::lease::{
-    DutyLease, LeaseEffect, LeaseEvent, LeaseRecord, StoredLease,
+    LeaseEffect, LeaseEvent, LeaseRecord, PlacementLease, StoredLease,
 };
 use clementinepond_dispatch::select::rendezvous_weight;
 use clementinepond_platform::{LEASE_KIND, StoreObject};
@@ -34,7 +34,7 @@
     let settings = node.settings();
     let stagger = rendezvous_weight(0, settings.vm.as_str()) % STAGGER_RANGE_MS;
     let first = TimeSpan::from_millis(stagger + handicap(&settings.capacity));
-    let lease = DutyLease::new(
+    let lease = PlacementLease::new(
         settings.vm.clone(),
         node.incarnation,
         settings.orders.holder_gap(),
@@ -49,13 +49,16 @@
             () = tokio::time::sleep(TICK.duration()) => {}
         }
         let now = BootClock::now();
-        let (holder_heard, peers) = {
+        let (holder_live, peers) = {
             let state = node.state.borrow();
-            (state.hears_holder(now), state.peers.contact(now).1 as u64)
+            (
+                state.hears_holder(now),
+                state.peers.peer_counts(now).1 as u64,
+            )
         };
         let head_start = first.fraction(peers.max(STAGGER_FLEET), STAGGER_FLEET);
         let tick = LeaseEvent::Tick {
-            holder_heard,
+            holder_live,
             head_start,
         };
         let effects = reduce(&node, tick, now);
--- a/crates/clementinepond_entry/src/duty/order_task.rs
+++ b/crates/clementinepond_entry/src/duty/order_task.rs
@@ -5,7 +5,9 @@
 use crate::node::{EntryNode, increment};
 use clementinepond_dispatch::fleet::{EndpointEntry, ServiceId};
 use clementinepond_dispatch::health::HealthGrade;
-use clementinepond_dispatch::peer::{AdapterPlace, PeerMessage, PlacementNews, SMALL_FLEET};
+use clementinepond_dispatch::peer::{
+    AdapterLocation, PeerMessage, PlacementUpdate, SMALL_FLEET_MAX_VMS,
+};
 use clementinepond_dispatch::place::{
     OrderReply, PlacementPlanner, PlannerEffect, PlannerInput, SentOrder,
 };
@@ -47,7 +49,7 @@
             .borrow()
             .planners
             .values()
-            .any(|one| one.has_waits());
+            .any(|one| one.has_adapter_waits());
         let pause = if has_waits {
             WAITING_INTERVAL
         } else {
@@ -137,10 +139,10 @@
             endpoint,
             unload,
             load,
-            crowding_milli,
+            utilization_milli,
             from_store,
         } => log::info!(
-            "event=move_started endpoint={endpoint} load={load} unload={unload:?} work_milli={crowding_milli} from_store={from_store}"
+            "event=move_started endpoint={endpoint} load={load} unload={unload:?} work_milli={utilization_milli} from_store={from_store}"
         ),
     }
 }
@@ -149,7 +151,7 @@
 #[derive(Debug, Default)]
 struct SentNews {
     number: u64,
-    adapters: FnvHashSet<AdapterPlace>,
+    adapters: FnvHashSet<AdapterLocation>,
     whole_due: LocalTime,
     next: LocalTime,
 }
@@ -161,11 +163,17 @@
             return;
         }
         let mut news = whole_news(node, fence, now);
-        let current: FnvHashSet<AdapterPlace> = news.adapters.drain(..).collect();
-        news.is_whole = now >= self.whole_due;
-        if news.is_whole {
-            let peers = node.state.borrow().peers.contact(now).1.max(SMALL_FLEET) as u64;
-            self.whole_due = now + WHOLE_INTERVAL.fraction(peers, SMALL_FLEET as u64);
+        let current: FnvHashSet<AdapterLocation> = news.adapters.drain(..).collect();
+        news.is_complete = now >= self.whole_due;
+        if news.is_complete {
+            let peers = node
+                .state
+                .borrow()
+                .peers
+                .peer_counts(now)
+                .1
+                .max(SMALL_FLEET_MAX_VMS) as u64;
+            self.whole_due = now + WHOLE_INTERVAL.fraction(peers, SMALL_FLEET_MAX_VMS as u64);
             news.adapters = current.iter().cloned().collect();
         } else {
             news.adapters = current.difference(&self.adapters).cloned().collect();
@@ -180,14 +188,14 @@
     }
 }
 
-fn whole_news(node: &EntryNode, fence: u64, now: LocalTime) -> PlacementNews {
+fn whole_news(node: &EntryNode, fence: u64, now: LocalTime) -> PlacementUpdate {
     let state = node.state.borrow();
-    let mut news = PlacementNews {
+    let mut news = PlacementUpdate {
         fence,
-        ..PlacementNews::default()
+        ..PlacementUpdate::default()
     };
     for planner in state.planners.values() {
-        let more = planner.news(fence, now);
+        let more = planner.update(fence, now);
         news.adapters.extend(more.adapters);
         news.closing.extend(more.closing);
         news.loading.extend(more.loading);
@@ -236,7 +244,7 @@
         sent.fence
     );
     with_planner(node, &sent.endpoint, |planner| {
-        planner.note_reply(&sent.endpoint, &sent.order, reply, now);
+        planner.record_reply(&sent.endpoint, &sent.order, reply, now);
     });
     node.duty_due.notify_one();
 }
@@ -257,7 +265,7 @@
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => match read_status(&answer.body) {
             Ok(status) => with_planner(node, &endpoint, |planner| {
-                planner.note_status(&endpoint, &status, asked_at, now);
+                planner.record_status(&endpoint, &status, asked_at, now);
             }),
             Err(error) => {
                 log::warn!("event=status_unreadable endpoint={endpoint} error=\"{error}\"");
--- a/crates/clementinepond_entry/src/node/contact.rs
+++ b/crates/clementinepond_entry/src/node/contact.rs
@@ -4,8 +4,8 @@
 use crate::clock::BootClock;
 use crate::store::WatchTarget;
 use clementinepond_dispatch::lease::LeaseEvent;
-use clementinepond_dispatch::ledger::EndpointKey;
-use clementinepond_dispatch::peer::{AccountNews, ModelDemand, PeerMessage, PeerNews};
+use clementinepond_dispatch::load::NameHash;
+use clementinepond_dispatch::peer::{AccountUsage, ModelDemand, PeerHeartbeat, PeerMessage};
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan, VmId};
 use fnv::FnvHashMap;
 use rand::RngExt;
@@ -31,7 +31,7 @@
         &self,
         from: &VmId,
         address: SocketAddrV4,
-        news: Box<PeerNews>,
+        news: Box<PeerHeartbeat>,
         started_at: LocalTime,
         now: LocalTime,
     ) {
@@ -40,15 +40,15 @@
         let state = &mut *guard;
         let loads = news.loads.clone();
         let ejected = news.ejected.clone();
-        let lapsed = news.lapsed_order_age_ms;
-        let Some(uses) = state.peers.note_news(from, address, news, now) else {
+        let lapsed = news.expired_order_age_ms;
+        let Some(uses) = state.peers.record_heartbeat(from, address, news, now) else {
             return;
         };
         if let (Some(age), Some(lease)) = (lapsed, &mut state.lease) {
             let age = u64::from(age) * 1_000;
             let last_order = LocalTime::from_micros(now.micros().saturating_sub(age));
             let vm = from.clone();
-            lease.reduce(LeaseEvent::Lapsed { vm, last_order }, now);
+            lease.reduce(LeaseEvent::Expired { vm, last_order }, now);
         }
         state.loads.set_peer(from, loads);
         let table = state.table.clone();
@@ -57,16 +57,16 @@
                 continue;
             };
             if !one.is_first {
-                state.quotas.note_remote(policy, one.units, now);
+                state.quotas.record_remote(policy, one.units, now);
             } else if now.since(started_at) < ADOPTION_WINDOW {
-                state.quotas.adopt(policy, one.level, now);
+                state.quotas.adopt_level(policy, one.level, now);
             }
         }
         if !ejected.is_empty() {
             let ids: Vec<EndpointId> = state
                 .directory
                 .all()
-                .filter(|known| ejected.contains(&EndpointKey::of(known.entry.id.as_str())))
+                .filter(|known| ejected.contains(&NameHash::of(known.entry.id.as_str())))
                 .map(|known| known.entry.id.clone())
                 .collect();
             for id in ids {
@@ -78,19 +78,22 @@
     }
 
     /// Writes this VM's regular news.
-    pub(crate) fn own_news(&self, number: u64, now: LocalTime) -> PeerNews {
+    pub(crate) fn own_news(&self, number: u64, now: LocalTime) -> PeerHeartbeat {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
         state
             .ejected_here
             .retain(|_, at| now.since(*at) < EJECTION_NEWS);
-        let accounts = state.quotas.figures(now).map(|(id, figures)| AccountNews {
-            account: id.clone(),
-            admitted: figures.admitted as u64,
-            asked_per_s: figures.asked_per_s as u32,
-            level: figures.level as i64,
-        });
-        PeerNews {
+        let accounts = state
+            .quotas
+            .snapshots(now)
+            .map(|(id, figures)| AccountUsage {
+                account: id.clone(),
+                admitted: figures.admitted as u64,
+                requested_per_s: figures.requested_per_s as u32,
+                level: figures.level as i64,
+            });
+        PeerHeartbeat {
             incarnation: self.incarnation,
             number,
             data_centre: self.settings().data_centre.clone(),
@@ -103,11 +106,11 @@
             has_store: state.failing_kinds == 0,
             store_age_ms: u32::try_from(now.since(state.store_answered_at).millis())
                 .unwrap_or(u32::MAX),
-            lapsed_order_age_ms: state.lapsed_order_age(now),
-            duty: state.lease.as_ref().and_then(|lease| lease.held_fence(now)),
+            expired_order_age_ms: state.lapsed_order_age(now),
+            lease_fence: state.lease.as_ref().and_then(|lease| lease.held_fence(now)),
             accounts: accounts.collect(),
-            loads: state.loads.news(),
-            demand: state.demand.news(now),
+            loads: state.loads.own_loads(),
+            demand: state.demand.snapshot(now),
             ejected: state.ejected_here.keys().copied().collect(),
         }
     }
@@ -122,8 +125,8 @@
         let revision = state.endpoint_revision;
         state
             .peers
-            .heard(BootClock::now())
-            .filter_map(|(_, peer)| peer.news.as_ref())
+            .live(BootClock::now())
+            .filter_map(|(_, peer)| peer.heartbeat.as_ref())
             .any(|news| match target {
                 WatchTarget::Configuration => news.configuration > version,
                 WatchTarget::Endpoints => news.directory > revision,
@@ -141,8 +144,8 @@
         let home = self.settings().data_centre.clone();
         let ahead: Vec<_> = state
             .peers
-            .heard(now)
-            .filter_map(|(_, peer)| Some((peer.address, peer.news.as_ref()?)))
+            .live(now)
+            .filter_map(|(_, peer)| Some((peer.address, peer.heartbeat.as_ref()?)))
             .filter(|(_, news)| news.configuration > version || news.directory > revision)
             .collect();
         // The nearest of those that know the newest configuration; among them
@@ -160,10 +163,10 @@
     }
 
     /// Returns the demand of the whole fleet.
-    pub(crate) fn fleet_demand(&self, now: LocalTime) -> FnvHashMap<EndpointKey, ModelDemand> {
+    pub(crate) fn fleet_demand(&self, now: LocalTime) -> FnvHashMap<NameHash, ModelDemand> {
         let mut state = self.state.borrow_mut();
         let mut demand = state.peers.demand(now);
-        for (model, own) in state.demand.news(now) {
+        for (model, own) in state.demand.snapshot(now) {
             let total = demand.entry(model).or_default();
             *total = total.plus(own);
         }
@@ -190,9 +193,9 @@
             return;
         };
         let state = self.state.borrow();
-        let is_home = |news: &PeerNews| news.data_centre == home;
+        let is_home = |news: &PeerHeartbeat| news.data_centre == home;
         for (_, peer) in state.peers.all() {
-            if peer.news.as_deref().is_some_and(is_home) {
+            if peer.heartbeat.as_deref().is_some_and(is_home) {
                 socket.send(&bytes, peer.address);
             }
         }
@@ -222,16 +225,16 @@
         let silent: Vec<VmId> = state
             .peers
             .all()
-            .filter(|(_, peer)| now.since(peer.heard_at) > TimeSpan::from_secs(2))
+            .filter(|(_, peer)| now.since(peer.last_seen) > TimeSpan::from_secs(2))
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in silent {
             // Its requests have ended, or it cannot be distinguished from a stopped VM.
             state.loads.forget_peer(&vm);
         }
-        let (heard, known) = state.peers.contact(now);
-        state.quotas.set_contact(heard, known, now);
-        let asked = state.peers.asked(now);
-        state.quotas.set_asked_elsewhere(asked);
+        let (heard, known) = state.peers.peer_counts(now);
+        state.quotas.set_live_peers(heard, known, now);
+        let asked = state.peers.requested_per_s(now);
+        state.quotas.set_remote_demand(asked);
     }
 }
--- a/crates/clementinepond_entry/src/node/entry_node.rs
+++ b/crates/clementinepond_entry/src/node/entry_node.rs
@@ -11,12 +11,12 @@
 use clementinepond_dispatch::directory::{EndpointDirectory, RevisionGuard};
 use clementinepond_dispatch::fleet::ServiceId;
 use clementinepond_dispatch::health::HealthTable;
-use clementinepond_dispatch::lease::DutyLease;
-use clementinepond_dispatch::ledger::{EndpointKey, LoadLedger};
+use clementinepond_dispatch::lease::PlacementLease;
+use clementinepond_dispatch::load::{LoadTable, NameHash};
 use clementinepond_dispatch::peer::PeerTable;
 use clementinepond_dispatch::place::{DemandMeter, PlacementPlanner};
-use clementinepond_dispatch::quota::QuotaLedger;
-use clementinepond_dispatch::select::PartMemory;
+use clementinepond_dispatch::quota::RateLimiter;
+use clementinepond_dispatch::select::PrefixCacheIndex;
 use clementinepond_dispatch::suspect::CrashSuspects;
 use clementinepond_dispatch::table::RouteTable;
 use clementinepond_types::{EndpointId, LocalTime};
@@ -47,10 +47,10 @@
     /// Revision of the newest change of an endpoint's entry.
     pub(crate) endpoint_revision: u64,
     pub(crate) health: HealthTable,
-    pub(crate) loads: LoadLedger,
-    pub(crate) parts: PartMemory,
+    pub(crate) loads: LoadTable,
+    pub(crate) parts: PrefixCacheIndex,
     pub(crate) demand: DemandMeter,
-    pub(crate) quotas: QuotaLedger,
+    pub(crate) quotas: RateLimiter,
     pub(crate) budgets: FnvHashMap<ServiceId, RetryBudget>,
     pub(crate) peers: PeerTable,
     pub(crate) placement: PlacementKnowledge,
@@ -65,10 +65,10 @@
     /// Moment of this VM's last order in this process.
     pub(crate) last_order: Option<LocalTime>,
     /// State towards the lease of the placement duty.
-    pub(crate) lease: Option<DutyLease>,
+    pub(crate) lease: Option<PlacementLease>,
     /// Placement of each service while this VM holds the duty.
     pub(crate) planners: FnvHashMap<ServiceId, PlacementPlanner>,
-    pub(crate) ejected_here: FnvHashMap<EndpointKey, LocalTime>,
+    pub(crate) ejected_here: FnvHashMap<NameHash, LocalTime>,
     /// Requests sent and not announced yet.
     pub(crate) unannounced: RunOutbox,
 }
@@ -103,10 +103,10 @@
             entry_revisions: RevisionGuard::default(),
             endpoint_revision: 0,
             health: HealthTable::default(),
-            loads: LoadLedger::default(),
-            parts: PartMemory::default(),
+            loads: LoadTable::default(),
+            parts: PrefixCacheIndex::default(),
             demand: DemandMeter::default(),
-            quotas: QuotaLedger::new(),
+            quotas: RateLimiter::new(),
             budgets: FnvHashMap::default(),
             peers: PeerTable::default(),
             placement: PlacementKnowledge::default(),
--- a/crates/clementinepond_entry/src/node/fleet_state.rs
+++ b/crates/clementinepond_entry/src/node/fleet_state.rs
@@ -3,8 +3,8 @@
 use super::EntryNode;
 use crate::clock::BootClock;
 use clementinepond_dispatch::directory::EndpointChange;
-use clementinepond_dispatch::ledger::EndpointKey;
-use clementinepond_dispatch::peer::{EntryChange, EntryNews, PeerMessage, SMALL_FLEET};
+use clementinepond_dispatch::load::NameHash;
+use clementinepond_dispatch::peer::{EntryChange, EntryUpdate, PeerMessage, SMALL_FLEET_MAX_VMS};
 use clementinepond_dispatch::table::RouteTable;
 use clementinepond_platform::{StoreObject, StorePage, read_configuration, read_endpoint};
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan};
@@ -84,7 +84,7 @@
         let settings = self.settings();
         let after = {
             let state = self.state.borrow();
-            let is_small = state.peers.contact(now).1 < SMALL_FLEET;
+            let is_small = state.peers.peer_counts(now).1 < SMALL_FLEET_MAX_VMS;
             let is_watcher = state.peers.is_watcher(
                 &settings.vm,
                 settings.capacity.link(),
@@ -103,7 +103,7 @@
                 revision: object.revision,
                 spec: (!object.is_deleted).then(|| object.spec.to_string().into()),
             });
-            let news = EntryNews {
+            let news = EntryUpdate {
                 after,
                 changes: changes.collect(),
             };
@@ -155,7 +155,7 @@
     }
 
     /// Applies changes forwarded by a watcher.
-    pub(crate) fn take_entry_news(&self, news: EntryNews) {
+    pub(crate) fn take_entry_news(&self, news: EntryUpdate) {
         let now = BootClock::now();
         let known = self.state.borrow().endpoint_revision;
         let mut newest = known;
@@ -258,7 +258,7 @@
         if change == EndpointChange::Joined {
             state.health.forget(&id);
             state.paces.remove(&id);
-            let key = EndpointKey::of(id.as_str());
+            let key = NameHash::of(id.as_str());
             state.parts.forget(key);
             state.loads.forget_queue(key);
         }
@@ -275,7 +275,7 @@
         let mut state = self.state.borrow_mut();
         if is_back {
             state.failing_kinds = state.failing_kinds.saturating_sub(1);
-            state.directory.note_store_return(BootClock::now());
+            state.directory.record_store_return(BootClock::now());
             log::info!("event=store_regained kind={kind}");
         } else {
             state.failing_kinds += 1;
@@ -288,7 +288,7 @@
         let settings = self.settings();
         let now = BootClock::now();
         let state = self.state.borrow();
-        if state.peers.contact(now).1 < SMALL_FLEET {
+        if state.peers.peer_counts(now).1 < SMALL_FLEET_MAX_VMS {
             return pause;
         }
         let rank = state.peers.watch_rank(
@@ -308,7 +308,7 @@
     /// Tells whether this VM watches the store itself, having listed its objects
     /// first at `listed_at`.
     pub(crate) fn may_watch(&self, listed_at: LocalTime, now: LocalTime) -> bool {
-        let is_large = self.state.borrow().peers.contact(now).1 >= SMALL_FLEET;
+        let is_large = self.state.borrow().peers.peer_counts(now).1 >= SMALL_FLEET_MAX_VMS;
         let wait = if is_large { LARGE_ROLE_WAIT } else { ROLE_WAIT };
         now.since(listed_at) >= wait && self.is_watcher(now)
     }
@@ -335,8 +335,11 @@
         let state = self.state.borrow();
         let is_fresh = |age: TimeSpan| age < CONTACT_AGE;
         is_fresh(now.since(state.store_answered_at))
-            || state.peers.heard(now).any(|(_, peer)| {
-                let age = peer.news.as_ref().map(|news| u64::from(news.store_age_ms));
+            || state.peers.live(now).any(|(_, peer)| {
+                let age = peer
+                    .heartbeat
+                    .as_ref()
+                    .map(|news| u64::from(news.store_age_ms));
                 age.is_some_and(|age| is_fresh(TimeSpan::from_millis(age)))
             })
     }
@@ -349,7 +352,7 @@
                 state.health.forget(&id);
                 state.paces.remove(&id);
                 state.work_ms.remove(&id);
-                let key = EndpointKey::of(id.as_str());
+                let key = NameHash::of(id.as_str());
                 state.parts.forget(key);
                 state.loads.forget_queue(key);
                 self.pool.forget(&id);
--- a/crates/clementinepond_entry/src/node/pick.rs
+++ b/crates/clementinepond_entry/src/node/pick.rs
@@ -7,9 +7,9 @@
     EnginePolicy, ModelTarget, RequestProfile, ServiceId, TokenDemand,
 };
 use clementinepond_dispatch::health::EndpointOutcome;
-use clementinepond_dispatch::ledger::{EndpointKey, LoadShare};
-use clementinepond_dispatch::peer::{AdapterPlace, SentRun};
-use clementinepond_dispatch::place::adapter_key;
+use clementinepond_dispatch::load::{EndpointLoad, NameHash};
+use clementinepond_dispatch::peer::{AdapterLocation, SentRun};
+use clementinepond_dispatch::place::adapter_hash;
 use clementinepond_dispatch::select::{
     AdapterReadiness, EngineCandidate, EngineRequest, EngineVerdict, ServiceCandidate,
     ServiceVerdict, choose_engine, choose_service_endpoint, rendezvous_weight,
@@ -52,7 +52,7 @@
     /// Predicted time to the first token; zero for plain services.
     pub(crate) predicted: TimeSpan,
     /// Adapter that has to be loaded there first.
-    pub(crate) missing_adapter: Option<AdapterPlace>,
+    pub(crate) missing_adapter: Option<AdapterLocation>,
     pub(crate) guard: RunGuard,
 }
 
@@ -61,8 +61,8 @@
 pub(crate) struct RunGuard {
     node: Rc<EntryNode>,
     id: EndpointId,
-    key: EndpointKey,
-    share: LoadShare,
+    key: NameHash,
+    share: EndpointLoad,
     /// Prompt tokens that count as unread until the first token.
     unread: Cell<u32>,
 }
@@ -72,14 +72,14 @@
     pub(crate) fn note_first_token(&self) {
         let tokens = self.unread.take();
         let mut state = self.node.state.borrow_mut();
-        state.loads.finish_read(self.key, tokens);
+        state.loads.finish_prefill(self.key, tokens);
     }
 }
 
 impl Drop for RunGuard {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
-        state.loads.finish_read(self.key, self.unread.get());
+        state.loads.finish_prefill(self.key, self.unread.get());
         state.loads.finish(self.key, self.share);
         state.health.end_run(&self.id);
     }
@@ -124,10 +124,10 @@
             slots: engine.slots,
             kv_capacity: engine.kv_capacity,
             time_left: now.until(query.deadline),
-            patience: now.until(query.first_token_by),
+            first_token_wait: now.until(query.first_token_by),
         };
         let home = self.settings().data_centre.clone();
-        let model_key = EndpointKey::of(target.model.as_str());
+        let model_key = NameHash::of(target.model.as_str());
         let weights = weights_key(target);
         let guard = self.state.borrow();
         let state = &*guard;
@@ -137,7 +137,7 @@
             .filter(|known| known.entry.hosted(&target.model).is_some())
             .filter(|known| !query.tried.contains(&known.entry.id))
             .filter(|known| {
-                let key = EndpointKey::of(known.entry.id.as_str());
+                let key = NameHash::of(known.entry.id.as_str());
                 !state.placement.is_absent(key, model_key, now)
             })
             .collect();
@@ -146,7 +146,7 @@
             .iter()
             .copied()
             .filter(|known| {
-                let key = EndpointKey::of(known.entry.id.as_str());
+                let key = NameHash::of(known.entry.id.as_str());
                 !state.placement.is_closing(key, model_key, now)
             })
             .collect();
@@ -158,10 +158,10 @@
             .enumerate()
             .map(|(index, known)| {
                 let entry = &known.entry;
-                let key = EndpointKey::of(entry.id.as_str());
+                let key = NameHash::of(entry.id.as_str());
                 let seen = state
                     .parts
-                    .cached_tokens(key, weights, &query.profile.parts);
+                    .cached_tokens(key, weights, &query.profile.blocks);
                 let share = owners
                     .iter()
                     .zip(OWNER_CACHE_SHARES)
@@ -170,9 +170,9 @@
                 let assumed = (shared_tokens as f64 * share) as u64;
                 let adapter = match &target.adapter {
                     Some(adapter) => {
-                        let place = AdapterPlace {
+                        let place = AdapterLocation {
                             endpoint: key,
-                            adapter: adapter_key(&target.model, adapter),
+                            adapter: adapter_hash(&target.model, adapter),
                         };
                         let held = state.placement.adapters_at(key);
                         if state.placement.has_adapter(&place) {
@@ -180,7 +180,7 @@
                         } else if held < engine.adapter_slots as usize {
                             AdapterReadiness::Missing
                         } else {
-                            AdapterReadiness::Crowded
+                            AdapterReadiness::NeedsEviction
                         }
                     }
                     None => AdapterReadiness::Ready,
@@ -188,13 +188,13 @@
                 EngineCandidate {
                     endpoint: entry,
                     load: state.loads.total(key),
-                    unread_tokens: state.loads.unread(key, now),
+                    prefill_tokens: state.loads.pending_prefill(key, now),
                     cached_tokens: seen.max(assumed),
                     grade: state.health.grade(&entry.id, now),
                     adapter,
                     is_local: entry.data_centre == home,
-                    is_missing: known.presence != Presence::Listed,
-                    pace: state.paces.get(&entry.id).copied().unwrap_or(1.0),
+                    is_unlisted: known.presence != Presence::Listed,
+                    slowdown: state.paces.get(&entry.id).copied().unwrap_or(1.0),
                 }
             })
             .collect();
@@ -222,10 +222,10 @@
         }
         let prefill = tokens.prompt.saturating_sub(chosen.cached_tokens);
         let missing_adapter = match (&target.adapter, chosen.adapter) {
-            (Some(adapter), AdapterReadiness::Missing | AdapterReadiness::Crowded) => {
-                Some(AdapterPlace {
-                    endpoint: EndpointKey::of(chosen.endpoint.id.as_str()),
-                    adapter: adapter_key(&target.model, adapter),
+            (Some(adapter), AdapterReadiness::Missing | AdapterReadiness::NeedsEviction) => {
+                Some(AdapterLocation {
+                    endpoint: NameHash::of(chosen.endpoint.id.as_str()),
+                    adapter: adapter_hash(&target.model, adapter),
                 })
             }
             _ => None,
@@ -238,10 +238,10 @@
         drop(guard);
         let run = SentRun {
             endpoint: id.clone(),
-            unread_tokens: clip(prefill),
+            prefill_tokens: clip(prefill),
             context_tokens: context_tokens(tokens, query.profile),
             weights,
-            parts: query.profile.parts.clone(),
+            blocks: query.profile.blocks.clone(),
             account,
         };
         let guard = self.start_engine_run(run, engine.kv_capacity, now);
@@ -268,14 +268,14 @@
             .filter(|known| !query.tried.contains(&known.entry.id))
             .map(|known| {
                 let entry = &known.entry;
-                let key = EndpointKey::of(entry.id.as_str());
+                let key = NameHash::of(entry.id.as_str());
                 ServiceCandidate {
                     endpoint: entry,
                     load: state.loads.total(key),
                     grade: state.health.grade(&entry.id, now),
                     is_local: entry.data_centre == home,
-                    is_missing: known.presence != Presence::Listed,
-                    work_ms: state
+                    is_unlisted: known.presence != Presence::Listed,
+                    service_time_ms: state
                         .work_ms
                         .get(&entry.id)
                         .copied()
@@ -293,7 +293,7 @@
         let id = candidates[index].endpoint.id.clone();
         let address = candidates[index].endpoint.address;
         drop(guard);
-        let share = LoadShare {
+        let share = EndpointLoad {
             runs: 1,
             context_tokens: 0,
         };
@@ -309,24 +309,24 @@
 
     /// Counts a run at an engine and announces it to the peers.
     fn start_engine_run(self: &Rc<Self>, run: SentRun, capacity: u64, now: LocalTime) -> RunGuard {
-        let key = EndpointKey::of(run.endpoint.as_str());
-        let share = LoadShare {
+        let key = NameHash::of(run.endpoint.as_str());
+        let share = EndpointLoad {
             runs: 1,
             context_tokens: run.context_tokens,
         };
-        let guard = self.start_run(&run.endpoint, share, run.unread_tokens);
+        let guard = self.start_run(&run.endpoint, share, run.prefill_tokens);
         let mut state = self.state.borrow_mut();
-        state.loads.start_read(key, run.unread_tokens, now);
+        state.loads.start_prefill(key, run.prefill_tokens, now);
         state
             .parts
-            .note_read(key, run.weights, &run.parts, capacity, now);
+            .record_prefill(key, run.weights, &run.blocks, capacity, now);
         drop(state);
         self.announce_run(run, now);
         guard
     }
 
-    fn start_run(self: &Rc<Self>, id: &EndpointId, share: LoadShare, unread: u32) -> RunGuard {
-        let key = EndpointKey::of(id.as_str());
+    fn start_run(self: &Rc<Self>, id: &EndpointId, share: EndpointLoad, unread: u32) -> RunGuard {
+        let key = NameHash::of(id.as_str());
         let mut state = self.state.borrow_mut();
         state.loads.start(key, share);
         state.health.start_run(id);
@@ -356,8 +356,8 @@
             .usable(&service, now)
             .map(|known| known.entry.id.clone())
             .collect();
-        if state.health.note(id, outcome, &peers, now) {
-            state.ejected_here.insert(EndpointKey::of(id.as_str()), now);
+        if state.health.record(id, outcome, &peers, now) {
+            state.ejected_here.insert(NameHash::of(id.as_str()), now);
             log::info!("event=endpoint_ejected endpoint={id} outcome={outcome:?}");
         }
     }
@@ -381,17 +381,17 @@
 }
 
 /// Returns the key under which caches hold a prompt's parts.
-fn weights_key(target: &ModelTarget) -> EndpointKey {
+fn weights_key(target: &ModelTarget) -> NameHash {
     match &target.adapter {
-        Some(adapter) => adapter_key(&target.model, adapter),
-        None => EndpointKey::of(target.model.as_str()),
+        Some(adapter) => adapter_hash(&target.model, adapter),
+        None => NameHash::of(target.model.as_str()),
     }
 }
 
 fn shared_tokens(profile: &RequestProfile) -> u64 {
-    let count = profile.parts.len().saturating_sub(1);
+    let count = profile.blocks.len().saturating_sub(1);
     profile
-        .parts
+        .blocks
         .iter()
         .take(count)
         .map(|part| part.tokens)
@@ -404,10 +404,10 @@
     let adapter = profile
         .target
         .as_ref()
-        .and_then(|target| Some(adapter_key(&target.model, target.adapter.as_ref()?)));
+        .and_then(|target| Some(adapter_hash(&target.model, target.adapter.as_ref()?)));
     let session = match adapter {
         Some(key) => key.number(),
-        None => match profile.parts.get(profile.parts.len().saturating_sub(2)) {
+        None => match profile.blocks.get(profile.blocks.len().saturating_sub(2)) {
             Some(part) => part.id,
             None => return Vec::new(),
         },
--- a/crates/clementinepond_entry/src/node/placement.rs
+++ b/crates/clementinepond_entry/src/node/placement.rs
@@ -4,9 +4,11 @@
 use super::entry_node::NodeState;
 use crate::clock::BootClock;
 use clementinepond_dispatch::fleet::ModelTarget;
-use clementinepond_dispatch::ledger::EndpointKey;
-use clementinepond_dispatch::peer::{AdapterPlace, PeerMessage, PlacementNews, SMALL_FLEET};
-use clementinepond_dispatch::place::adapter_key;
+use clementinepond_dispatch::load::NameHash;
+use clementinepond_dispatch::peer::{
+    AdapterLocation, PeerMessage, PlacementUpdate, SMALL_FLEET_MAX_VMS,
+};
+use clementinepond_dispatch::place::adapter_hash;
 use clementinepond_types::{AdapterId, EndpointId, LocalTime, ModelId, TimeSpan, VmId};
 use fnv::{FnvHashMap, FnvHashSet};
 
@@ -29,27 +31,27 @@
 pub(crate) struct PlacementKnowledge {
     fence: u64,
     number: u64,
-    adapters: FnvHashSet<AdapterPlace>,
-    closing: FnvHashSet<(EndpointKey, EndpointKey)>,
+    adapters: FnvHashSet<AdapterLocation>,
+    closing: FnvHashSet<(NameHash, NameHash)>,
     heard_at: LocalTime,
     /// Whether the news came from another VM.
     is_remote: bool,
     holder: Option<VmId>,
     /// Adapters at each endpoint.
-    counts: FnvHashMap<EndpointKey, usize>,
+    counts: FnvHashMap<NameHash, usize>,
     /// Models being loaded, and when they are expected.
-    loading: FnvHashMap<EndpointKey, LocalTime>,
+    loading: FnvHashMap<NameHash, LocalTime>,
     /// Models that an endpoint said it does not hold, and until when that counts.
-    absent: FnvHashMap<(EndpointKey, EndpointKey), LocalTime>,
+    absent: FnvHashMap<(NameHash, NameHash), LocalTime>,
     /// Moment at which the holder was last notified of each adapter in use.
-    pub(crate) told: FnvHashMap<AdapterPlace, LocalTime>,
+    pub(crate) told: FnvHashMap<AdapterLocation, LocalTime>,
 }
 
 impl PlacementKnowledge {
     /// Takes over news; false when they are out of date.
     pub(crate) fn take(
         &mut self,
-        news: PlacementNews,
+        news: PlacementUpdate,
         from: Option<&VmId>,
         now: LocalTime,
     ) -> bool {
@@ -58,7 +60,7 @@
         }
         self.fence = news.fence;
         self.number = news.number;
-        if news.is_whole {
+        if news.is_complete {
             self.adapters.clear();
         }
         for place in &news.removed {
@@ -82,7 +84,7 @@
         true
     }
 
-    pub(crate) fn note_ready(&mut self, place: AdapterPlace) {
+    pub(crate) fn note_ready(&mut self, place: AdapterLocation) {
         let endpoint = place.endpoint;
         if self.adapters.insert(place) {
             *self.counts.entry(endpoint).or_default() += 1;
@@ -90,51 +92,36 @@
     }
 
     /// Returns the number of adapters at an endpoint.
-    pub(crate) fn adapters_at(&self, endpoint: EndpointKey) -> usize {
+    pub(crate) fn adapters_at(&self, endpoint: NameHash) -> usize {
         self.counts.get(&endpoint).copied().unwrap_or(0)
     }
 
     /// Notes that an endpoint said it does not hold a model.
-    pub(crate) fn note_absent(
-        &mut self,
-        endpoint: EndpointKey,
-        model: EndpointKey,
-        now: LocalTime,
-    ) {
+    pub(crate) fn note_absent(&mut self, endpoint: NameHash, model: NameHash, now: LocalTime) {
         self.absent.retain(|_, until| now < *until);
         self.absent.insert((endpoint, model), now + ABSENCE_SPAN);
     }
 
-    pub(crate) fn is_absent(
-        &self,
-        endpoint: EndpointKey,
-        model: EndpointKey,
-        now: LocalTime,
-    ) -> bool {
+    pub(crate) fn is_absent(&self, endpoint: NameHash, model: NameHash, now: LocalTime) -> bool {
         self.absent
             .get(&(endpoint, model))
             .is_some_and(|until| now < *until)
     }
 
-    pub(crate) fn note_missing(&mut self, place: &AdapterPlace) {
+    pub(crate) fn note_missing(&mut self, place: &AdapterLocation) {
         self.adapters.remove(place);
     }
 
-    pub(crate) fn has_adapter(&self, place: &AdapterPlace) -> bool {
+    pub(crate) fn has_adapter(&self, place: &AdapterLocation) -> bool {
         self.adapters.contains(place)
     }
 
     /// Returns the moment at which a model's next copy is expected.
-    pub(crate) fn expected_at(&self, model: EndpointKey) -> Option<LocalTime> {
+    pub(crate) fn expected_at(&self, model: NameHash) -> Option<LocalTime> {
         self.loading.get(&model).copied()
     }
 
-    pub(crate) fn is_closing(
-        &self,
-        endpoint: EndpointKey,
-        model: EndpointKey,
-        now: LocalTime,
-    ) -> bool {
+    pub(crate) fn is_closing(&self, endpoint: NameHash, model: NameHash, now: LocalTime) -> bool {
         now.since(self.heard_at) < CLOSING_AGE && self.closing.contains(&(endpoint, model))
     }
 }
@@ -157,9 +144,9 @@
     /// Tells whether another VM shows that it holds the placement duty.
     pub(crate) fn hears_holder(&self, now: LocalTime) -> bool {
         let is_told = now.since(self.placement.heard_at) < HOLDER_SILENCE;
-        let is_small = self.peers.contact(now).1 < SMALL_FLEET;
+        let is_small = self.peers.peer_counts(now).1 < SMALL_FLEET_MAX_VMS;
         let is_fresh = |vm: &VmId| !is_small || self.peers.age(vm, now) < HOLDER_SILENCE;
-        let heard = self.peers.duty_holder(now);
+        let heard = self.peers.lease_holder(now);
         (is_told && self.placement.is_remote && heard.is_some())
             || heard.is_some_and(|(vm, _)| is_fresh(vm))
     }
@@ -171,13 +158,18 @@
 }
 
 impl EntryNode {
-    pub(crate) fn take_placement(&self, news: PlacementNews, from: Option<&VmId>, now: LocalTime) {
+    pub(crate) fn take_placement(
+        &self,
+        news: PlacementUpdate,
+        from: Option<&VmId>,
+        now: LocalTime,
+    ) {
         if self.state.borrow_mut().placement.take(news, from, now) {
             self.placement_changed.notify_waiters();
         }
     }
 
-    pub(crate) fn take_adapter_ready(&self, place: AdapterPlace) {
+    pub(crate) fn take_adapter_ready(&self, place: AdapterLocation) {
         self.state.borrow_mut().placement.note_ready(place);
         self.placement_changed.notify_waiters();
     }
@@ -204,7 +196,7 @@
         else {
             return;
         };
-        planner.want_adapter(from, endpoint, model, adapter, now);
+        planner.request_adapter(from, endpoint, model, adapter, now);
         self.duty_due.notify_one();
     }
 
@@ -213,12 +205,12 @@
         &self,
         endpoint: &EndpointId,
         target: Option<&ModelTarget>,
-    ) -> Option<AdapterPlace> {
+    ) -> Option<AdapterLocation> {
         let target = target?;
         let adapter = target.adapter.as_ref()?;
-        Some(AdapterPlace {
-            endpoint: EndpointKey::of(endpoint.as_str()),
-            adapter: adapter_key(&target.model, adapter),
+        Some(AdapterLocation {
+            endpoint: NameHash::of(endpoint.as_str()),
+            adapter: adapter_hash(&target.model, adapter),
         })
     }
 
@@ -277,7 +269,7 @@
         self.take_adapter_wanted(&me, endpoint, &target.model, adapter, now);
         let holder = {
             let state = self.state.borrow();
-            let heard = state.peers.duty_holder(now).map(|(vm, _)| vm);
+            let heard = state.peers.lease_holder(now).map(|(vm, _)| vm);
             let told = state.placement.holder.as_ref();
             heard.or(told).and_then(|vm| state.peers.address(vm))
         };
--- a/crates/clementinepond_entry/src/node/run_news.rs
+++ b/crates/clementinepond_entry/src/node/run_news.rs
@@ -4,8 +4,8 @@
 //! that only knew the news would all turn to the same engine.
 
 use super::EntryNode;
-use clementinepond_dispatch::ledger::{EndpointKey, LoadShare};
-use clementinepond_dispatch::peer::{PeerMessage, RunNews, SentRun};
+use clementinepond_dispatch::load::{EndpointLoad, NameHash};
+use clementinepond_dispatch::peer::{PeerMessage, RunUpdate, SentRun};
 use clementinepond_types::{LocalTime, VmId};
 
 /// Datagrams a second that a VM spends on announcing its requests; beyond,
@@ -51,7 +51,7 @@
             state.unannounced.due(peers, now)
         };
         if !due.is_empty() {
-            self.broadcast(PeerMessage::Runs(RunNews {
+            self.broadcast(PeerMessage::Runs(RunUpdate {
                 incarnation: self.incarnation,
                 runs: due,
             }));
@@ -59,13 +59,13 @@
     }
 
     /// Takes over the requests that a peer announces.
-    pub(crate) fn take_runs(&self, from: &VmId, news: RunNews, now: LocalTime) {
+    pub(crate) fn take_runs(&self, from: &VmId, news: RunUpdate, now: LocalTime) {
         let Some(table) = self.table() else {
             return;
         };
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        state.peers.note_heard(from, news.incarnation, now);
+        state.peers.record_contact(from, news.incarnation, now);
         for run in news.runs {
             // Use of a process that is not known yet arrives with its first news.
             if let Some((account, admitted)) = &run.account
@@ -73,26 +73,26 @@
                 && let Some(units) =
                     state
                         .peers
-                        .note_admitted(from, news.incarnation, account, *admitted)
+                        .record_admitted(from, news.incarnation, account, *admitted)
             {
-                state.quotas.note_remote(policy, units, now);
+                state.quotas.record_remote(policy, units, now);
             }
             let known = state.directory.get(&run.endpoint);
             let service = known.and_then(|known| table.service(&known.entry.service));
             let Some(engine) = service.and_then(|service| service.engine.as_ref()) else {
                 continue;
             };
-            let key = EndpointKey::of(run.endpoint.as_str());
-            let share = LoadShare {
+            let key = NameHash::of(run.endpoint.as_str());
+            let share = EndpointLoad {
                 runs: 1,
                 context_tokens: run.context_tokens,
             };
             state
                 .loads
-                .start_remote(from, key, share, run.unread_tokens, now);
+                .start_remote(from, key, share, run.prefill_tokens, now);
             state
                 .parts
-                .note_read(key, run.weights, &run.parts, engine.kv_capacity, now);
+                .record_prefill(key, run.weights, &run.blocks, engine.kv_capacity, now);
         }
     }
 }
--- a/crates/clementinepond_entry/src/peer/socket.rs
+++ b/crates/clementinepond_entry/src/peer/socket.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::BootClock;
 use crate::node::EntryNode;
-use clementinepond_dispatch::peer::{PeerEnvelope, PeerMessage, SMALL_FLEET};
+use clementinepond_dispatch::peer::{PeerEnvelope, PeerMessage, SMALL_FLEET_MAX_VMS};
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -92,7 +92,7 @@
     }
     let now = BootClock::now();
     match envelope.message {
-        PeerMessage::News(news) => node.take_news(&from, address, news, started_at, now),
+        PeerMessage::Heartbeat(news) => node.take_news(&from, address, news, started_at, now),
         PeerMessage::Runs(runs) => node.take_runs(&from, runs, now),
         PeerMessage::Placement(news) => node.take_placement(*news, Some(&from), now),
         PeerMessage::Entries(news) => node.take_entry_news(news),
@@ -106,7 +106,7 @@
             node.state
                 .borrow_mut()
                 .suspects
-                .note_crash(fingerprint, now);
+                .record_crash(fingerprint, now);
         }
     }
 }
@@ -122,7 +122,7 @@
         let base = node.settings().peers.interval_ms as u64;
         // Beyond a small fleet the interval grows, so that a VM's datagrams a
         // second stay bounded.
-        let small = SMALL_FLEET as u64;
+        let small = SMALL_FLEET_MAX_VMS as u64;
         let fleet = (peers.len() as u64 + 1).max(small);
         let interval = TimeSpan::from_millis(base * fleet / small);
         tokio::select! {
@@ -134,7 +134,7 @@
         node.flush_runs(now);
         number += 1;
         let news = node.own_news(number, now);
-        if let Some(bytes) = socket.encode(PeerMessage::News(Box::new(news))) {
+        if let Some(bytes) = socket.encode(PeerMessage::Heartbeat(Box::new(news))) {
             for peer in peers {
                 socket.send(&bytes, peer);
             }
