--- a/crates/clementinepond_dispatch/src/budget/mod.rs
+++ b/crates/clementinepond_dispatch/src/budget/mod.rs
@@ -1,17 +1,17 @@
-//! Budget for sending a request more than once.
+//! Retry budget.
 //!
-//! Repeats over all VMs must stay below a share of the requests plus a fixed
-//! allowance in any window. A VM uses its own requests for the share and an
-//! even part of the allowance, so that no message is needed.
+//! In any window, the retries of all VMs must stay below a share of the requests plus a
+//! fixed allowance. Each VM uses the share of its own requests and an even part of the
+//! allowance, so that VMs need not coordinate.
 
 use clementinepond_types::{LocalTime, TimeSpan};
 use std::collections::VecDeque;
 
-/// Share of the stated budget that a VM uses; the rest covers clocks and
-/// messages that cross a window's edge.
+/// Share of the configured budget that a VM uses; the rest covers clock differences and
+/// messages that cross the boundary of a window.
 const BUDGET_SAFETY_SHARE: f64 = 0.8;
 
-/// Budget of one VM for one service.
+/// Retry budget of one VM for one service.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     ratio: f64,
@@ -22,8 +22,8 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget: repeats may reach `ratio` of the requests plus
-    /// `allowance` within `window`, over all VMs.
+    /// Creates a budget: over all VMs, retries may reach `ratio` of the requests plus
+    /// `allowance` within `window`.
     #[must_use]
     pub const fn new(ratio: f64, allowance: f64, window: TimeSpan) -> Self {
         Self {
@@ -35,13 +35,14 @@
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a caller's request.
     pub fn record_request(&mut self, now: LocalTime) {
         self.requests.push_back(now);
         self.forget(now);
     }
 
-    /// Takes one repeat, if the budget allows it with `vms` VMs in the fleet.
+    /// Takes one retry if the budget allows it in a fleet of `vms` VMs; returns whether
+    /// it did.
     pub fn take_retry(&mut self, vms: usize, now: LocalTime) -> bool {
         self.forget(now);
         let share = self.allowance / vms.max(1) as f64;
--- a/crates/clementinepond_dispatch/src/directory/mod.rs
+++ b/crates/clementinepond_dispatch/src/directory/mod.rs
@@ -1,9 +1,9 @@
-//! The endpoints that a VM knows of.
+//! Directory of the endpoints that a VM knows.
 //!
-//! An endpoint once seen draining stays so for the rest of that life,
-//! whatever older lists say. One that is no longer listed stays usable for a
-//! short while, since entries lapse while the store is away and come back
-//! after its return.
+//! An endpoint once seen draining remains so for the rest of its incarnation, whatever
+//! older lists state. An endpoint that is no longer listed stays usable for a short
+//! time, since entries expire while the store is unavailable and reappear after its
+//! return.
 
 mod revision_guard;
 
@@ -14,60 +14,60 @@
 use fnv::{FnvHashMap, FnvHashSet};
 use std::collections::BTreeMap;
 
-/// Time for which an endpoint that is no longer listed stays usable; below the
-/// two seconds after which the platform wants a leaving endpoint left alone.
+/// Time for which an endpoint that is no longer listed stays usable; less than the two
+/// seconds after which the platform requires that a leaving endpoint gets no requests.
 const UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(1_200);
-/// The same after the store was away: entries are back two seconds after its
+/// The same after an outage of the store. Entries reappear within two seconds of its
 /// return, or their endpoints are gone.
 const OUTAGE_UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(2_200);
-/// Time after an outage of the store during which lapses are expected.
+/// Time after an outage of the store during which entries are expected to be missing.
 const OUTAGE_RECOVERY_WINDOW: TimeSpan = TimeSpan::from_secs(3);
 
-/// Whether an endpoint is listed.
+/// Whether an endpoint is listed in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It is in the list.
+    /// The endpoint is listed.
     Listed,
-    /// It has left the list and stays usable until this moment.
+    /// The endpoint is no longer listed and stays usable until this time.
     Unlisted(LocalTime),
 }
 
-/// One endpoint that the VM knows of.
+/// Endpoint that the VM knows.
 #[derive(Debug, Clone)]
 pub struct KnownEndpoint {
-    /// Its description.
+    /// Last description of the endpoint.
     pub entry: EndpointEntry,
-    /// Whether it is listed.
+    /// Whether the endpoint is listed.
     pub presence: Presence,
-    /// Moment at which it will be taken away, when notice was given.
+    /// Time at which the endpoint will be removed; `None` without advance notice.
     pub leaves_at: Option<LocalTime>,
 }
 
-/// What a change of the list meant.
+/// Effect of an update on the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// A new endpoint, or a new life of a known one.
+    /// The endpoint is new or has a new incarnation.
     Joined,
     /// The description changed.
     Updated,
-    /// It stopped taking requests.
+    /// The endpoint stopped taking requests.
     Draining,
-    /// Nothing that matters changed.
+    /// Nothing changed, or the description is of an earlier incarnation.
     Same,
 }
 
-/// The endpoints that a VM knows of.
+/// Directory of the endpoints that a VM knows.
 #[derive(Debug, Default)]
 pub struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     draining: FnvHashMap<EndpointId, u64>,
     store_returned_at: Option<LocalTime>,
-    /// Revision of the store up to which the directory is complete.
+    /// Store revision up to which the directory is complete.
     pub revision: u64,
 }
 
 impl EndpointDirectory {
-    /// Takes over a whole list.
+    /// Replaces the directory by a complete list; endpoints not in it become unlisted.
     pub fn replace(&mut self, list: Vec<EndpointEntry>, revision: u64, now: LocalTime) {
         let listed: FnvHashSet<EndpointId> = list.iter().map(|entry| entry.id.clone()).collect();
         for entry in list {
@@ -85,7 +85,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes over one description.
+    /// Updates an endpoint from its description.
     pub fn update(&mut self, mut entry: EndpointEntry, now: LocalTime) -> EndpointChange {
         let id = entry.id.clone();
         if self.draining.get(&id) == Some(&entry.started_ms) {
@@ -115,7 +115,7 @@
         change
     }
 
-    /// Notes that an endpoint is no longer listed.
+    /// Marks an endpoint as no longer listed.
     pub fn remove(&mut self, id: &EndpointId, now: LocalTime) {
         let returned = self
             .store_returned_at
@@ -132,12 +132,15 @@
         }
     }
 
-    /// Notes that the store answers again after an outage.
+    /// Records that the store is available again after an outage.
     pub fn record_store_return(&mut self, now: LocalTime) {
         self.store_returned_at = Some(now);
     }
 
-    /// Drops endpoints that stayed missing; returns their names.
+    /// Removes unlisted endpoints whose grace period is over.
+    ///
+    /// Returns their IDs, and those of listed endpoints whose announced removal time
+    /// has passed, which stay in the directory.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<EndpointId> {
         let gone: Vec<EndpointId> = self
             .endpoints
@@ -166,7 +169,7 @@
         self.endpoints.get(id)
     }
 
-    /// Returns all endpoints in the order of their names.
+    /// Returns all endpoints, ordered by ID.
     pub fn all(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.endpoints.values()
     }
@@ -182,7 +185,7 @@
             .filter(move |known| known.entry.service == *service && known.is_usable(now))
     }
 
-    /// Tells whether nothing is known.
+    /// Returns whether the directory has no endpoints.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
@@ -190,7 +193,7 @@
 }
 
 impl KnownEndpoint {
-    /// Tells whether new requests may be sent there.
+    /// Returns whether new requests may be sent to the endpoint.
     #[must_use]
     pub fn is_usable(&self, now: LocalTime) -> bool {
         let is_there = match self.presence {
--- a/crates/clementinepond_dispatch/src/directory/revision_guard.rs
+++ b/crates/clementinepond_dispatch/src/directory/revision_guard.rs
@@ -1,19 +1,19 @@
-//! Order of changes that arrive by several ways.
+//! Rejects outdated changes that arrive by several channels.
 
 use std::collections::BTreeMap;
 
-/// Newest revision seen of each entry, deletions included.
+/// Newest revision seen of each entry, including deletions.
 ///
-/// Changes reach a VM from the store, by datagram and in snapshots, so an older
-/// one may come after a newer one; without the memory of deletions it would
-/// bring an endpoint back that has left.
+/// Changes reach a VM from the store, by datagram and in snapshots, so an older one may
+/// arrive after a newer one. Without the record of deletions, it would restore an
+/// endpoint that has left.
 #[derive(Debug, Default)]
 pub struct RevisionGuard {
     seen: BTreeMap<Box<str>, u64>,
 }
 
 impl RevisionGuard {
-    /// Takes a change; false when it, or a newer one, was seen before.
+    /// Accepts a change; returns false if the same or a newer one was seen before.
     pub fn accept(&mut self, name: &str, revision: u64) -> bool {
         match self.seen.get_mut(name) {
             Some(seen) if *seen >= revision => false,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Tells whether a newer change of the entry was seen.
+    /// Returns whether a newer change of the entry was seen.
     #[must_use]
     pub fn is_outdated(&self, name: &str, revision: u64) -> bool {
         self.seen.get(name).is_some_and(|seen| *seen > revision)
--- a/crates/clementinepond_dispatch/src/fleet/account.rs
+++ b/crates/clementinepond_dispatch/src/fleet/account.rs
@@ -2,29 +2,29 @@
 
 use clementinepond_types::{AccountId, KeyDigest};
 
-/// What an account's rate and burst count.
+/// Unit of an account's rate and burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Tokens declared by the request.
+    /// Tokens declared by requests.
     Tokens,
-    /// Requests.
+    /// Number of requests.
     Requests,
 }
 
-/// One client account.
+/// Client account with its keys and quota.
 #[derive(Debug, Clone)]
 pub struct AccountPolicy {
-    /// Name.
+    /// Account ID.
     pub id: AccountId,
-    /// Digests of the keys that work.
+    /// Digests of the valid keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank that replaces the route's; 0 is the most urgent.
+    /// Priority that replaces the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// What rate and burst count.
+    /// Unit of the rate and burst.
     pub unit: QuotaUnit,
-    /// Cost of a request that declares no tokens.
+    /// Cost of a request that declares no tokens, in units.
     pub default_cost: u64,
-    /// Units a second over the whole fleet; 0 means no limit.
+    /// Units per second over the whole fleet; 0 means no limit.
     pub rate_per_s: f64,
     /// Units that may be spent at once over the whole fleet.
     pub burst: f64,
--- a/crates/clementinepond_dispatch/src/fleet/endpoint.rs
+++ b/crates/clementinepond_dispatch/src/fleet/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as they describe themselves.
+//! Endpoints as described by their entries in the store.
 
 use super::ServiceId;
 use clementinepond_types::{AdapterId, DataCentreId, EndpointId, ModelId, TimeSpan};
@@ -7,54 +7,55 @@
 /// Whether an endpoint takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPhase {
-    /// Takes requests.
+    /// The endpoint takes requests.
     Ready,
-    /// Finishes what it runs and leaves.
+    /// The endpoint finishes its running requests and leaves.
     Draining,
 }
 
-/// One model that an endpoint holds.
+/// Model that an endpoint holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostedModel {
-    /// Model.
+    /// Model ID.
     pub id: ModelId,
     /// Version of the weights.
     pub version: u64,
-    /// Adapters of the model that are loaded.
+    /// Loaded adapters of the model.
     pub adapters: Vec<AdapterId>,
 }
 
-/// One endpoint.
+/// Entry of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Name of the incarnation.
+    /// Endpoint ID.
     pub id: EndpointId,
-    /// Service that it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceId,
     /// Address for requests.
     pub address: SocketAddrV4,
-    /// Data centre.
+    /// Data centre of the endpoint.
     pub data_centre: DataCentreId,
-    /// Whether it takes new requests.
+    /// Whether the endpoint takes new requests.
     pub phase: EndpointPhase,
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Unix time of its start, in milliseconds; tells two lives of one name apart.
+    /// Start of the incarnation, as a Unix time in milliseconds; distinguishes
+    /// incarnations with the same ID.
     pub started_ms: u64,
-    /// Orders accepted in this life, as of the report.
+    /// Number of orders accepted in this incarnation when the entry was written.
     pub order_count: u64,
-    /// Time left before it is taken away, when it was given notice.
+    /// Time left before the endpoint is removed; `None` without advance notice.
     pub time_left: Option<TimeSpan>,
-    /// Models it holds.
+    /// Models that the endpoint holds.
     pub models: Vec<HostedModel>,
-    /// Models with a copy of the weights in host memory.
+    /// Models whose weights are in host memory.
     pub in_memory: Vec<ModelId>,
-    /// Models with a copy of the weights on disk.
+    /// Models whose weights are on disk.
     pub on_disk: Vec<ModelId>,
 }
 
 impl EndpointEntry {
-    /// Returns a model that the endpoint holds.
+    /// Returns a model if the endpoint holds it.
     #[must_use]
     pub fn hosted(&self, model: &ModelId) -> Option<&HostedModel> {
         self.models.iter().find(|hosted| hosted.id == *model)
@@ -64,10 +65,10 @@
 /// Load that an endpoint reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
--- a/crates/clementinepond_dispatch/src/fleet/engine.rs
+++ b/crates/clementinepond_dispatch/src/fleet/engine.rs
@@ -2,10 +2,10 @@
 
 use clementinepond_types::{ModelId, TimeSpan};
 
-/// One model that a service offers.
+/// Model that a service offers.
 #[derive(Debug, Clone)]
 pub struct ModelProfile {
-    /// Name.
+    /// Model ID.
     pub id: ModelId,
     /// Size of the weights, in megabytes.
     pub weights_mb: f64,
@@ -15,26 +15,28 @@
     pub memory_load: TimeSpan,
     /// Load time from the endpoint's disk.
     pub disk_load: TimeSpan,
-    /// Number of adapters.
+    /// Number of adapters of the model.
     pub adapters: u32,
     /// Size of one adapter, in megabytes.
     pub adapter_mb: f64,
 }
 
-/// Engines of one service.
+/// Engine settings of one service.
 #[derive(Debug, Clone)]
 pub struct EnginePolicy {
-    /// Requests that run at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into an engine's KV cache.
+    /// Capacity of an engine's KV cache, in tokens.
     pub kv_capacity: u64,
     /// Memory for weights and adapters, in megabytes.
     pub weights_mb: f64,
-    /// Largest number of adapters on an engine, including those in transit.
+    /// Maximum number of adapters on an engine, including those being loaded or
+    /// unloaded.
     pub adapter_slots: u32,
-    /// Loads a second that the weight store allows over all engines; 0 means no limit.
+    /// Loads per second that the weight store allows over all engines; 0 means no
+    /// limit.
     pub loads_per_s: f64,
-    /// Models on offer.
+    /// Models that the service offers.
     pub models: Vec<ModelProfile>,
 }
 
--- a/crates/clementinepond_dispatch/src/fleet/mod.rs
+++ b/crates/clementinepond_dispatch/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet as the decisions see it: policy, endpoints and requests.
+//! Types that describe the fleet: configuration, endpoints and requests.
 
 mod account;
 mod endpoint;
--- a/crates/clementinepond_dispatch/src/fleet/policy.rs
+++ b/crates/clementinepond_dispatch/src/fleet/policy.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration in force.
+//! Operator's configuration of routes, services and accounts.
 
 use super::{AccountPolicy, EnginePolicy, ServiceId};
 use clementinepond_types::TimeSpan;
@@ -6,87 +6,88 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryRule {
-    /// Any number of runs is harmless.
+    /// The request may run any number of times.
     Idempotent,
-    /// At most one run.
+    /// The request must run at most once.
     AtMostOnce,
-    /// A stream that runs at most once.
+    /// The request is a stream that must run at most once.
     Stream,
-    /// A stream that another endpoint may continue after the last event.
+    /// The request is a stream that another endpoint may continue after the last event.
     ResumableStream,
 }
 
 impl RetryRule {
-    /// Tells whether a second run is allowed.
+    /// Returns whether the request may run a second time.
     #[must_use]
     pub const fn may_retry(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Tells whether the answer is a series of events.
+    /// Returns whether the answer is a stream of events.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// Share of a route's requests that one service takes.
+/// Service that takes a weighted share of a route's requests.
 #[derive(Debug, Clone)]
 pub struct RouteTarget {
-    /// Service.
+    /// Service ID.
     pub service: ServiceId,
-    /// Weight among the route's targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// Route from a host and path prefix to services.
 #[derive(Debug, Clone)]
 pub struct RoutePolicy {
-    /// Name.
+    /// Name of the route.
     pub name: Box<str>,
-    /// Host that callers name.
+    /// Host name in requests.
     pub host: Box<str>,
-    /// Start of the paths that belong to the route.
+    /// Prefix of the request paths.
     pub path_prefix: Box<str>,
     /// Whether requests may run more than once.
     pub retry_rule: RetryRule,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time until the complete answer.
     pub timeout: TimeSpan,
-    /// Time within which an answer (a stream: its first event) is on time.
+    /// Target time until the answer, or until the first event of a stream.
     pub latency_target: TimeSpan,
-    /// Longest pause between two events of a stream that is on time.
+    /// Target time between two events of a stream; `None` without a target.
     pub pause_target: Option<TimeSpan>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Services that take the requests.
     pub targets: Vec<RouteTarget>,
-    /// Largest number of endpoints that one request is sent to.
+    /// Maximum number of endpoints that one request is sent to.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether requests need no key.
     pub is_anonymous: bool,
 }
 
-/// One service.
+/// Service behind the entry VMs.
 #[derive(Debug, Clone)]
 pub struct ServicePolicy {
-    /// Name.
+    /// Service ID.
     pub id: ServiceId,
-    /// Connections that an endpoint accepts from all callers together.
+    /// Maximum number of connections that an endpoint accepts from all callers
+    /// together; `None` means no limit.
     pub connection_limit: Option<u32>,
-    /// Engines, when the endpoints are model engines.
+    /// Engine settings; `None` when the service's endpoints are not model engines.
     pub engine: Option<EnginePolicy>,
 }
 
-/// Bounds on what callers may send.
+/// Limits of what callers may send.
 #[derive(Debug, Clone)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of the request head, in bytes.
     pub header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of the request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time that a caller may take over a head.
+    /// Maximum time to receive the request head.
     pub header_timeout: TimeSpan,
-    /// Longest time that a connection may stay idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: TimeSpan,
 }
 
@@ -101,18 +102,18 @@
     }
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone)]
 pub struct FleetPolicy {
-    /// Version; only ever rises.
+    /// Version number; never decreases.
     pub version: u64,
-    /// Routes.
+    /// Routes in the order of the configuration.
     pub routes: Vec<RoutePolicy>,
-    /// Services.
+    /// Services that routes refer to.
     pub services: Vec<ServicePolicy>,
-    /// Bounds on callers.
+    /// Limits of what callers may send.
     pub limits: CallerLimits,
-    /// Client accounts; without any, requests need no key.
+    /// Client accounts; when empty, requests need no key.
     pub accounts: Vec<AccountPolicy>,
 }
 
--- a/crates/clementinepond_dispatch/src/fleet/request.rs
+++ b/crates/clementinepond_dispatch/src/fleet/request.rs
@@ -1,58 +1,58 @@
-//! Requests as callers declare them.
+//! Properties that callers declare in their requests.
 
 use clementinepond_types::{AdapterId, ModelId, RequestId, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// Model, and adapter where one is named.
+/// Model of a request, with its adapter if one is named.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ModelTarget {
-    /// Model.
+    /// Model ID.
     pub model: ModelId,
-    /// Adapter of that model.
+    /// Adapter of the model; `None` for the base model.
     pub adapter: Option<AdapterId>,
 }
 
 /// Tokens that a request declares.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TokenDemand {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Largest number of tokens to generate.
+    /// Maximum number of tokens to generate.
     pub output: u64,
 }
 
 impl TokenDemand {
-    /// Returns prompt and output together.
+    /// Returns the sum of prompt and output tokens.
     #[must_use]
     pub const fn total(self) -> u64 {
         self.prompt.saturating_add(self.output)
     }
 }
 
-/// One part of a prompt; equal identities stand for equal text.
+/// Block of a prompt; blocks with equal IDs have equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptBlock {
-    /// Identity.
+    /// ID of the block's text.
     pub id: u64,
-    /// Length in tokens.
+    /// Length, in tokens.
     pub tokens: u64,
 }
 
-/// What a caller declares of a request.
+/// Properties that a caller declares of a request.
 #[derive(Debug, Clone)]
 pub struct RequestProfile {
-    /// Identity of the caller's attempt.
+    /// Request ID of this attempt.
     pub id: Option<RequestId>,
-    /// How long the caller waits, counted from the arrival.
+    /// Time that the caller waits, counted from the request's arrival.
     pub timeout: Option<TimeSpan>,
-    /// Model to run.
+    /// Model and adapter to run.
     pub target: Option<ModelTarget>,
-    /// Tokens declared.
+    /// Declared prompt and output tokens.
     pub tokens: Option<TokenDemand>,
-    /// Parts of the prompt in order, from the most widely shared to its own.
+    /// Blocks of the prompt in order, from the most widely shared to the request's own.
     pub blocks: Vec<PromptBlock>,
-    /// Event after which a stream resumes.
+    /// ID of the event after which a stream resumes.
     pub resume_after: Option<u64>,
-    /// Caller's estimate of the output, in tokens.
+    /// Caller's estimate of the output length, in tokens.
     pub output_hint: Option<u64>,
 }
--- a/crates/clementinepond_dispatch/src/fleet/service_id.rs
+++ b/crates/clementinepond_dispatch/src/fleet/service_id.rs
@@ -1,22 +1,22 @@
-//! Names of services.
+//! Service IDs.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use std::str::FromStr;
 
-/// Name of one service behind the entry VMs.
+/// ID of a service behind the entry VMs.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceId(Box<str>);
 
 impl ServiceId {
-    /// Wraps a name.
+    /// Creates an ID from a name.
     #[must_use]
     pub fn new(name: &str) -> Self {
         Self(name.into())
     }
 
-    /// Returns the name as text.
+    /// Returns the ID as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/clementinepond_dispatch/src/health/endpoint_health.rs
+++ b/crates/clementinepond_dispatch/src/health/endpoint_health.rs
@@ -1,32 +1,33 @@
-//! Recent outcomes at one endpoint.
+//! Recent request outcomes at one endpoint.
 
 use clementinepond_types::{LocalTime, TimeSpan};
 
 /// Half-life of an outcome's weight, in seconds.
 const OUTCOME_HALF_LIFE_S: f64 = 3.0;
-/// First span for which a failing endpoint is set aside.
+/// Duration of the first ejection.
 const MIN_EJECTION_DURATION: TimeSpan = TimeSpan::from_millis(800);
-/// Longest span for which a failing endpoint is set aside.
+/// Longest duration of an ejection.
 const MAX_EJECTION_DURATION: TimeSpan = TimeSpan::from_secs(4);
-/// Calm time after which an earlier ejection no longer lengthens the next.
+/// Time after the end of an ejection from which the next one starts at the shortest
+/// duration again.
 const EJECTION_RESET_TIME: TimeSpan = TimeSpan::from_secs(6);
 
-/// How one request fared at an endpoint.
+/// Outcome of a request at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointOutcome {
-    /// It answered with success.
+    /// The endpoint answered with success.
     Success,
-    /// It answered with a failure of its own.
+    /// The endpoint answered with an error of its own.
     Failure,
-    /// It refused the request although it should have had room.
+    /// The endpoint refused the request although it should have had capacity.
     Refusal,
-    /// The answer broke off, made no sense or did not come in time.
+    /// The answer was truncated, malformed or late.
     Broken,
     /// No connection could be made.
     Unreachable,
 }
 
-/// Recent outcomes at one endpoint.
+/// Health of one endpoint, from recent request outcomes.
 #[derive(Debug, Clone)]
 pub struct EndpointHealth {
     successes: f64,
@@ -55,7 +56,7 @@
 }
 
 impl EndpointHealth {
-    /// Counts an outcome.
+    /// Records an outcome.
     pub fn record(&mut self, outcome: EndpointOutcome, now: LocalTime) {
         self.decay(now);
         match outcome {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Sets the endpoint aside.
+    /// Ejects the endpoint; repeated ejections double in duration.
     pub fn eject(&mut self, now: LocalTime) {
         let calm = now.since(self.ejected_until) > EJECTION_RESET_TIME;
         let span = if calm || self.ejection == TimeSpan::ZERO {
@@ -92,44 +93,45 @@
         self.is_on_trial = true;
     }
 
-    /// Returns the weight of failures and of all outcomes.
+    /// Returns the decayed weights of failures and of all outcomes.
     pub fn rates(&mut self, now: LocalTime) -> (f64, f64) {
         self.decay(now);
         (self.failures, self.failures + self.successes)
     }
 
-    /// Tells whether the endpoint is set aside.
+    /// Returns whether the endpoint is ejected.
     #[must_use]
     pub fn is_ejected(&self, now: LocalTime) -> bool {
         now < self.ejected_until
     }
 
-    /// Tells whether the endpoint came back and has not yet proved itself.
+    /// Returns whether the endpoint has been ejected and has had no success since.
     #[must_use]
     pub const fn is_on_trial(&self) -> bool {
         self.is_on_trial
     }
 
-    /// Returns the connections refused in a row.
+    /// Returns the number of failed connections since the last success.
     #[must_use]
     pub const fn consecutive_unreachable(&self) -> u32 {
         self.consecutive_unreachable
     }
 
-    /// Counts a request sent on trial; false when one is running already.
+    /// Returns whether no trial request is running.
     #[must_use]
     pub const fn has_no_running_trial(&self) -> bool {
         self.trials_running == 0
     }
 
-    /// Notes the start of a request.
+    /// Records the start of a request, which counts as a trial if the endpoint is on
+    /// trial.
     pub const fn start_run(&mut self) {
         if self.is_on_trial {
             self.trials_running += 1;
         }
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub const fn end_run(&mut self) {
         self.trials_running = self.trials_running.saturating_sub(1);
     }
--- a/crates/clementinepond_dispatch/src/health/health_table.rs
+++ b/crates/clementinepond_dispatch/src/health/health_table.rs
@@ -1,24 +1,26 @@
-//! Health of all endpoints, judged against their peers.
+//! Health of all endpoints, compared with their peers.
 
 use super::{EndpointHealth, EndpointOutcome};
 use clementinepond_types::{EndpointId, LocalTime};
 use fnv::FnvHashMap;
 
-/// Weight of failures below which an endpoint is never set aside.
+/// Decayed number of failures below which an endpoint is not ejected, unless it is
+/// unreachable.
 const MIN_FAILURE_WEIGHT: f64 = 1.6;
-/// Share of failures above which an endpoint is suspect.
+/// Share of failures below which an endpoint is not ejected, unless it is unreachable.
 const MIN_FAILURE_SHARE: f64 = 0.3;
-/// How many times the peers' share of failures an endpoint must show.
+/// Minimum ratio of an endpoint's share of failures to that of its peers for an
+/// ejection.
 const PEER_FAILURE_FACTOR: f64 = 2.0;
 
-/// How far an endpoint is trusted.
+/// Health of an endpoint, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthGrade {
-    /// It serves normally.
+    /// The endpoint serves normally.
     Good,
-    /// It was set aside and takes one request at a time.
+    /// The endpoint was ejected and takes one trial request at a time.
     Trial,
-    /// It is set aside.
+    /// The endpoint is ejected or already runs a trial request.
     Ejected,
 }
 
@@ -29,9 +31,9 @@
 }
 
 impl HealthTable {
-    /// Counts an outcome; returns true when the endpoint is now set aside.
+    /// Records an outcome; returns whether the endpoint has just been ejected.
     ///
-    /// `peers` are the other endpoints of the same service.
+    /// `peers` are the endpoints of the same service.
     pub fn record(
         &mut self,
         id: &EndpointId,
@@ -60,7 +62,7 @@
         true
     }
 
-    /// Ejects an endpoint that a peer has ejected.
+    /// Ejects an endpoint that a peer VM has ejected.
     pub fn eject(&mut self, id: &EndpointId, now: LocalTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
         if !health.is_ejected(now) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Returns how far an endpoint is trusted.
+    /// Returns the health of an endpoint; `Good` for an unknown one.
     #[must_use]
     pub fn grade(&self, id: &EndpointId, now: LocalTime) -> HealthGrade {
         match self.endpoints.get(id) {
@@ -81,21 +83,21 @@
         }
     }
 
-    /// Notes the start of a request.
+    /// Records the start of a request.
     pub fn start_run(&mut self, id: &EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
             health.start_run();
         }
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub fn end_run(&mut self, id: &EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
             health.end_run();
         }
     }
 
-    /// Forgets an endpoint that is gone or has started anew.
+    /// Removes an endpoint that has left or restarted.
     pub fn forget(&mut self, id: &EndpointId) {
         self.endpoints.remove(id);
     }
--- a/crates/clementinepond_dispatch/src/health/mod.rs
+++ b/crates/clementinepond_dispatch/src/health/mod.rs
@@ -1,9 +1,9 @@
-//! Health of endpoints from the outcomes of requests.
+//! Endpoint health, derived from request outcomes (outlier ejection).
 //!
-//! Health checks of the endpoints themselves may be false either way, so only
-//! what happens to requests and connections counts. An endpoint that fails
-//! clearly more often than its peers is set aside for a span that doubles
-//! with each relapse; afterwards one request at a time tries it.
+//! The endpoints' own health checks may be wrong in either direction, so only the
+//! outcomes of requests and connections count. An endpoint that fails clearly more
+//! often than its peers is ejected for a time that doubles with each repeated ejection.
+//! Afterwards it takes one trial request at a time until one succeeds.
 
 mod endpoint_health;
 mod health_table;
--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -1,105 +1,106 @@
-//! Lease of the placement duty, kept in one object of the store.
+//! Placement lease, kept in one object of the store.
 //!
-//! One VM at a time gives orders to endpoints. The holder renews the object
-//! and stops before its span ends, counted on a clock that runs through
-//! suspension. A successor waits until the object has not changed for a whole
-//! span, takes it over by a conditional update, and gives its first order only
-//! after the gap in which endpoints must not see two holders.
+//! One VM at a time sends orders to endpoints. The lease holder renews the object and
+//! stops sending orders before the lease ends, measured on a clock that keeps running
+//! during suspension. A successor waits for a full lease duration after it has read the
+//! object, takes the lease by a conditional update, which fails if the object has
+//! changed, and sends its first order only after the gap in which endpoints must not
+//! see two holders.
 
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Time for which one renewal gives authority.
+/// Duration of the lease, counted from the sending of a renewal.
 pub const LEASE_DURATION: TimeSpan = TimeSpan::from_millis(1_400);
-/// Part of the span at whose end the holder already stops, for the orders on
-/// their way.
+/// Time before the end of the lease at which the holder stops sending orders, so that
+/// orders in flight still arrive in time.
 const STOP_MARGIN: TimeSpan = TimeSpan::from_millis(300);
-/// Time between renewals.
+/// Interval between renewals.
 const RENEWAL_INTERVAL: TimeSpan = TimeSpan::from_millis(450);
-/// Time between two looks at a lease that another VM may still hold.
+/// Interval between checks whether another VM's lease has expired.
 const POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(250);
-/// Extra time over the endpoints' own gap between two holders.
+/// Margin added to the endpoints' minimum gap between the orders of two holders.
 const ORDER_GAP_MARGIN: TimeSpan = TimeSpan::from_millis(600);
 
-/// What the object holds.
+/// Content of the lease object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Holder, unless the duty was released.
+    /// Lease holder; `None` once the lease was released.
     pub holder: Option<VmId>,
-    /// Holder before, while its orders may still matter.
+    /// Previous holder, while its orders may still take effect.
     pub previous: Option<VmId>,
-    /// Random number of the holder's process; recognises an own update whose
-    /// answer was lost.
+    /// Random number of the holder's process; identifies its own update when the reply
+    /// was lost.
     pub incarnation: u64,
-    /// Count of updates by that process.
+    /// Number of updates by that process.
     pub update: u64,
 }
 
-/// The object as it was read.
+/// Lease object as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredLease {
     /// Revision of the object; 0 when there is none.
     pub revision: u64,
-    /// Content, when it can be read.
+    /// Content; `None` when there is none or it cannot be parsed.
     pub record: Option<LeaseRecord>,
 }
 
-/// What can happen.
+/// Input of the lease state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Time passed; `holder_live` tells whether a peer reports that it holds the duty.
+    /// Time has passed.
     Tick {
-        /// Whether a holder was heard.
+        /// Whether a live peer reports that it holds the lease.
         holder_live: bool,
-        /// Head start that this VM leaves to the others once the holder falls silent.
+        /// Delay before this VM tries to take the lease after the holder was last live.
         head_start: TimeSpan,
     },
     /// The object was read.
     Read(StoredLease),
     /// The update took effect.
     Written {
-        /// New revision.
+        /// New revision of the object.
         revision: u64,
     },
-    /// A VM says that its authority is over and when it gave its last order.
+    /// A VM reports that its lease has expired and when it sent its last order.
     Expired {
-        /// The VM.
+        /// VM whose lease has expired.
         vm: VmId,
-        /// Moment of its last order.
+        /// Time of that VM's last order.
         last_order: LocalTime,
     },
-    /// Another update came first.
+    /// The update failed since the object has another revision.
     Conflict(StoredLease),
-    /// No answer came; the update may have taken effect.
+    /// No reply came; the update may have taken effect.
     Unknown,
     /// The process is about to stop.
     Release,
 }
 
-/// What to do.
+/// Action that the I/O layer performs, or a change to act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEffect {
     /// Read the object.
     Read,
-    /// Write the object if it has the revision; 0 creates it.
+    /// Write the object if it has the expected revision.
     Write {
-        /// Revision expected.
+        /// Expected revision; 0 creates the object.
         expected: u64,
-        /// New content.
+        /// New content of the object.
         record: LeaseRecord,
     },
-    /// This VM now holds the duty and may order from a moment on.
+    /// This VM now holds the lease and may send orders from `order_from` on.
     Acquired {
-        /// Fencing number.
+        /// Fencing number of the lease.
         fence: u64,
-        /// Moment of the first order.
+        /// Time from which orders may be sent.
         order_from: LocalTime,
-        /// Whether nobody else held the duty since this VM did.
+        /// Whether no other VM held the lease since this one did.
         is_resumed: bool,
     },
-    /// This VM no longer holds the duty.
+    /// This VM no longer holds the lease.
     Lost,
 }
 
@@ -112,7 +113,7 @@
     previous: Option<VmId>,
 }
 
-/// State of one VM towards the lease.
+/// State machine of one VM for the placement lease.
 #[derive(Debug)]
 pub struct PlacementLease {
     me: VmId,
@@ -121,9 +122,10 @@
     order_gap: TimeSpan,
     held: Option<HeldLease>,
     last_read: Option<(StoredLease, LocalTime)>,
-    /// VM that said its authority is over, its last order, and when that was heard.
+    /// VM that reported its lease as expired, the time of its last order, and the time
+    /// of the report.
     expired: Option<(VmId, LocalTime, LocalTime)>,
-    /// Last order of the holder from whom this VM is about to take over.
+    /// Time of the last order of the holder from which this VM takes over.
     previous_last_order: Option<LocalTime>,
     call_started_at: Option<LocalTime>,
     next_call: LocalTime,
@@ -131,8 +133,10 @@
 }
 
 impl PlacementLease {
-    /// Makes the state; `order_gap` is the time within which an endpoint must
-    /// not see orders of two holders, `stagger` the head start left to others.
+    /// Creates the state machine.
+    ///
+    /// `order_gap` is the time within which an endpoint must not see orders of two
+    /// holders, and `stagger` the delay before the first attempt.
     #[must_use]
     pub fn new(
         me: VmId,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Returns the fencing number if this VM may order now.
+    /// Returns the fencing number if this VM may send orders now.
     #[must_use]
     pub fn fence(&self, now: LocalTime) -> Option<u64> {
         let held = self.held.as_ref()?;
@@ -164,8 +168,8 @@
         may_order.then_some(held.fence)
     }
 
-    /// Returns the fencing number if this VM holds the duty, even while it has
-    /// to wait with orders.
+    /// Returns the fencing number if this VM holds the lease, even if it may not send
+    /// orders yet.
     #[must_use]
     pub fn held_fence(&self, now: LocalTime) -> Option<u64> {
         self.held
@@ -174,7 +178,7 @@
             .map(|held| held.fence)
     }
 
-    /// Handles one event.
+    /// Handles an event and returns the resulting effects.
     pub fn reduce(&mut self, event: LeaseEvent, now: LocalTime) -> Vec<LeaseEffect> {
         match event {
             LeaseEvent::Tick {
@@ -198,7 +202,7 @@
             LeaseEvent::Unknown => {
                 self.call_started_at = None;
                 self.next_call = now + RETRY_DELAY;
-                // Reading shows whether the update took effect.
+                // A read shows whether the update took effect.
                 self.last_read = None;
                 Vec::new()
             }
@@ -245,7 +249,7 @@
         effects
     }
 
-    /// Works towards the lease while no holder is heard.
+    /// Returns the next step towards the lease while no holder is live.
     fn try_acquire(&mut self, now: LocalTime) -> Option<LeaseEffect> {
         let effect = match &self.last_read {
             None => LeaseEffect::Read,
@@ -256,8 +260,8 @@
                     .and_then(|record| record.holder.clone());
                 let is_mine = holder.as_ref() == Some(&self.me);
                 let is_free = holder.is_none() || is_mine;
-                // A holder that has said since the reading that its authority
-                // is over cannot have renewed it, or the update will fail.
+                // A holder that has reported its lease as expired since the read cannot
+                // have renewed it; if it has, the conditional update fails.
                 let has_expired = self.expired.as_ref().is_some_and(|(vm, _, last_seen)| {
                     holder.as_ref() == Some(vm) && last_seen > since
                 });
@@ -297,7 +301,8 @@
             .is_some_and(|record| record.incarnation == self.incarnation);
         if let Some(held) = &mut self.held {
             if mine {
-                // An update whose answer was lost took effect; it counts from its reading back only.
+                // An update whose reply was lost took effect. It doesn't extend the
+                // lease, since the time of sending is no longer known.
                 held.revision = stored.revision;
                 self.last_read = Some((stored, now));
                 return Vec::new();
--- a/crates/clementinepond_dispatch/src/lib.rs
+++ b/crates/clementinepond_dispatch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of an entry VM that fronts a hosted fleet of endpoints.
+//! Decision logic of an entry VM that routes requests to a fleet of endpoints.
 //!
-//! Everything here is pure: no I/O, no clocks, no threads. Time and randomness
-//! arrive as arguments, so that each decision can be played in virtual time.
-//! The crate `clementinepond_entry` carries the decisions out.
+//! The crate does no I/O, reads no clock and starts no threads. Time and randomness are
+//! passed as arguments, so that every decision can be tested in virtual time. The crate
+//! `clementinepond_entry` performs the I/O.
 
 pub mod budget;
 pub mod directory;
--- a/crates/clementinepond_dispatch/src/load/endpoint_load.rs
+++ b/crates/clementinepond_dispatch/src/load/endpoint_load.rs
@@ -1,18 +1,18 @@
-//! Load that one VM, or all of them, put on one endpoint.
+//! Load that the requests of one or all VMs put on an endpoint.
 
 use serde::{Deserialize, Serialize};
 
 /// Load on one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Requests sent and not yet ended.
+    /// Number of requests sent and not yet ended.
     pub runs: u32,
-    /// Tokens of prompts and outputs that the runs may come to hold.
+    /// Prompt and output tokens that these requests may occupy in the KV cache.
     pub context_tokens: u32,
 }
 
 impl EndpointLoad {
-    /// Adds another share.
+    /// Returns the sum of two loads.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes a share off, stopping at zero.
+    /// Returns the difference of two loads, with zero as the lower bound.
     #[must_use]
     pub const fn minus(self, other: Self) -> Self {
         Self {
--- a/crates/clementinepond_dispatch/src/load/load_table.rs
+++ b/crates/clementinepond_dispatch/src/load/load_table.rs
@@ -1,36 +1,37 @@
-//! Load of all endpoints as one VM sees it.
+//! Load of all endpoints, as one VM knows it.
 
 use super::{EndpointLoad, NameHash, PrefillQueue};
 use clementinepond_types::{LocalTime, VmId};
 use fnv::FnvHashMap;
 
-/// Load of all endpoints.
+/// Load of all endpoints, as one VM knows it.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     own: FnvHashMap<NameHash, EndpointLoad>,
-    /// Prompt tokens of own requests without a first token.
+    /// Prompt tokens of this VM's requests that have no first token yet.
     own_prefill: FnvHashMap<NameHash, u32>,
-    /// Prompt text that all VMs sent.
+    /// Estimated prefill queues from the requests of all VMs.
     queues: FnvHashMap<NameHash, PrefillQueue>,
     remote: FnvHashMap<NameHash, EndpointLoad>,
     by_peer: FnvHashMap<VmId, Vec<(NameHash, EndpointLoad)>>,
 }
 
 impl LoadTable {
-    /// Counts a request that is being sent.
+    /// Adds a request that this VM is sending.
     pub fn start(&mut self, key: NameHash, share: EndpointLoad) {
         let own = self.own.entry(key).or_default();
         *own = own.plus(share);
     }
 
-    /// Counts the prompt text of a request that is being sent.
+    /// Adds the prompt tokens of a request that this VM is sending.
     pub fn start_prefill(&mut self, key: NameHash, tokens: u32, now: LocalTime) {
         let pending = self.own_prefill.entry(key).or_default();
         *pending = pending.saturating_add(tokens);
         self.queues.entry(key).or_default().add(tokens, now);
     }
 
-    /// Counts the first token of a request, or its end without one.
+    /// Removes the prompt tokens of a request that has its first token or has ended
+    /// without one.
     pub fn finish_prefill(&mut self, key: NameHash, tokens: u32) {
         if let Some(pending) = self.own_prefill.get_mut(&key) {
             *pending = pending.saturating_sub(tokens);
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Counts the end of a request.
+    /// Removes a request that has ended.
     pub fn finish(&mut self, key: NameHash, share: EndpointLoad) {
         if let Some(own) = self.own.get_mut(&key) {
             *own = own.minus(share);
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Counts a request that a peer is sending; the peer's next news replace it.
+    /// Adds a request that a peer is sending, until the peer's next heartbeat replaces
+    /// it.
     pub fn start_remote(
         &mut self,
         peer: &VmId,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Takes over what a peer says of its own load.
+    /// Replaces a peer's load by that of its heartbeat.
     pub fn set_peer(&mut self, peer: &VmId, loads: Vec<(NameHash, EndpointLoad)>) {
         self.forget_peer(peer);
         for (key, share) in &loads {
@@ -79,7 +81,7 @@
         self.by_peer.insert(peer.clone(), loads);
     }
 
-    /// Drops what a peer said.
+    /// Removes a peer's load.
     pub fn forget_peer(&mut self, peer: &VmId) {
         for (key, share) in self.by_peer.remove(peer).unwrap_or_default() {
             if let Some(remote) = self.remote.get_mut(&key) {
@@ -88,21 +90,21 @@
         }
     }
 
-    /// Returns the load that this VM put on an endpoint.
+    /// Returns the load from this VM's requests.
     #[must_use]
     pub fn own(&self, key: NameHash) -> EndpointLoad {
         self.own.get(&key).copied().unwrap_or_default()
     }
 
-    /// Returns the load that all VMs put on an endpoint.
+    /// Returns the load from the requests of all VMs.
     #[must_use]
     pub fn total(&self, key: NameHash) -> EndpointLoad {
         let remote = self.remote.get(&key).copied().unwrap_or_default();
         self.own(key).plus(remote)
     }
 
-    /// Returns the prompt tokens that an endpoint still has to read before those
-    /// of a new request.
+    /// Returns the prompt tokens that an endpoint has to process before those of a new
+    /// request.
     #[must_use]
     pub fn pending_prefill(&self, key: NameHash, now: LocalTime) -> f64 {
         let queue = self.queues.get(&key);
@@ -111,12 +113,12 @@
         waiting.max(f64::from(own))
     }
 
-    /// Forgets the queue of an endpoint that started anew or is gone.
+    /// Removes the prefill queue of an endpoint that has restarted or left.
     pub fn forget_queue(&mut self, key: NameHash) {
         self.queues.remove(&key);
     }
 
-    /// Returns what this VM has to tell its peers.
+    /// Returns the load from this VM's requests on each endpoint, for the heartbeat.
     #[must_use]
     pub fn own_loads(&self) -> Vec<(NameHash, EndpointLoad)> {
         self.own.iter().map(|(key, share)| (*key, *share)).collect()
--- a/crates/clementinepond_dispatch/src/load/mod.rs
+++ b/crates/clementinepond_dispatch/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Load of endpoints: what this VM sent, what its peers say they sent.
+//! Load of endpoints, from this VM's requests and from those that its peers report.
 
 mod endpoint_load;
 mod load_table;
--- a/crates/clementinepond_dispatch/src/load/name_hash.rs
+++ b/crates/clementinepond_dispatch/src/load/name_hash.rs
@@ -1,11 +1,11 @@
-//! Short names for messages between VMs.
+//! Hashes that stand for names in messages between VMs.
 
 use derive_more::Display;
 use fnv::FnvHasher;
 use serde::{Deserialize, Serialize};
 use std::hash::Hasher;
 
-/// Hash of a name (endpoint, model, adapter); keeps messages small.
+/// 32-bit hash of the name of an endpoint, model or adapter; keeps messages small.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,7 +13,7 @@
 pub struct NameHash(u32);
 
 impl NameHash {
-    /// Hashes a name.
+    /// Returns the hash of a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
         let mut hasher = FnvHasher::default();
--- a/crates/clementinepond_dispatch/src/peer/message.rs
+++ b/crates/clementinepond_dispatch/src/peer/message.rs
@@ -1,35 +1,35 @@
-//! Messages between VMs, one a datagram.
+//! Messages between VMs, one per datagram.
 
 use crate::fleet::PromptBlock;
 use crate::load::{EndpointLoad, NameHash};
 use clementinepond_types::{AccountId, AdapterId, DataCentreId, EndpointId, ModelId, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Units of one account at one VM.
+/// Usage of one account at one VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    /// Account.
+    /// Account that the values apply to.
     pub account: AccountId,
     /// Units admitted since the VM's process started.
     pub admitted: u64,
-    /// Units asked for a second, refused ones included.
+    /// Units requested per second, including refused ones.
     pub requested_per_s: u32,
-    /// Level of the VM's copy of the bucket; below zero after use elsewhere.
+    /// Level of the VM's copy of the bucket; negative after use at peers.
     pub level: i64,
 }
 
-/// Demand for one model at one VM; whole tokens in messages.
+/// Demand for one model at one VM; rounded down to whole tokens in messages.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct ModelDemand {
-    /// Prompt tokens a second that no cache held.
+    /// Prompt tokens per second that were not cached.
     pub prefill_per_s: f32,
-    /// Tokens generated a second.
+    /// Requested output tokens per second.
     pub output_per_s: f32,
 }
 
 impl ModelDemand {
-    /// Adds another demand.
+    /// Returns the sum of two demands.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -54,112 +54,115 @@
     }
 }
 
-/// Regular news of a VM.
+/// Heartbeat of a VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
-    /// Random number of the process.
+    /// Random number that identifies the process.
     pub incarnation: u64,
-    /// Count of news sent by this process; older ones that come late are dropped.
+    /// Sequence number of the heartbeat within the process; late older ones are
+    /// dropped.
     pub number: u64,
-    /// Data centre.
+    /// Data centre of the VM.
     pub data_centre: DataCentreId,
-    /// Version of the configuration in force; 0 when there is none.
+    /// Version of the configuration in use; 0 when there is none.
     pub configuration: u64,
-    /// Revision of the newest change of an endpoint's entry that the VM knows.
+    /// Revision of the newest change to an endpoint's entry that the VM knows.
     pub directory: u64,
-    /// Bandwidth of the VM's link, in megabits a second.
+    /// Bandwidth of the VM's link, in megabits per second.
     pub link_mbps: u32,
-    /// Whether the VM's own calls of the store work, as far as it makes any.
+    /// Whether the VM's own calls to the store succeed; true when it makes none.
     pub has_store: bool,
     /// Milliseconds since the store last answered this VM's watches.
     pub store_age_ms: u32,
-    /// Fencing number, when the VM holds the placement duty.
+    /// Fencing number if the VM holds the placement lease.
     pub lease_fence: Option<u64>,
-    /// Milliseconds since the VM's last order, when it held the duty and its
-    /// authority is over.
+    /// Milliseconds since the VM's last order if it held the placement lease and the
+    /// lease has expired.
     pub expired_order_age_ms: Option<u32>,
-    /// Accounts.
+    /// Usage of each account.
     pub accounts: Vec<AccountUsage>,
-    /// Load put on endpoints.
+    /// Load that the VM's requests put on each endpoint.
     pub loads: Vec<(NameHash, EndpointLoad)>,
-    /// Demand for models.
+    /// Demand for each model.
     pub demand: Vec<(NameHash, ModelDemand)>,
-    /// Endpoints that the VM has set aside.
+    /// Endpoints that the VM has ejected.
     pub ejected: Vec<NameHash>,
 }
 
-/// One adapter at one endpoint.
+/// Adapter at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AdapterLocation {
-    /// Endpoint.
+    /// Hash of the endpoint's name.
     pub endpoint: NameHash,
-    /// Model and adapter, hashed together.
+    /// Hash of the model and adapter names together.
     pub adapter: NameHash,
 }
 
-/// News from the holder of the placement duty to all VMs.
+/// Update from the lease holder about the placement of models and adapters.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementUpdate {
-    /// Fencing number of the holder.
+    /// Fencing number of the lease holder.
     pub fence: u64,
-    /// Count of news under this fence.
+    /// Sequence number of the update under this fencing number.
     pub number: u64,
-    /// Whether these are all adapters, or changes since the last news.
+    /// Whether `adapters` lists all loaded adapters rather than the changes since the
+    /// last update.
     pub is_complete: bool,
     /// Adapters that are loaded.
     pub adapters: Vec<AdapterLocation>,
     /// Adapters that are no longer loaded.
     pub removed: Vec<AdapterLocation>,
-    /// Copies of models that are about to be unloaded: endpoint and model.
+    /// Copies that are about to be unloaded, as endpoint and model.
     pub closing: Vec<(NameHash, NameHash)>,
-    /// Models being loaded, and the milliseconds until they are expected.
+    /// Models being loaded, with the milliseconds until they are expected to serve.
     pub loading: Vec<(NameHash, u32)>,
 }
 
-/// A request that a VM is sending to an engine.
+/// Request that a VM is sending to an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SentRun {
-    /// Engine.
+    /// Engine that receives the request.
     pub endpoint: EndpointId,
-    /// Prompt tokens that the engine has to read.
+    /// Prompt tokens that the engine has to process.
     pub prefill_tokens: u32,
-    /// Tokens of prompt and output that the run may come to hold.
+    /// Prompt and output tokens that the request may occupy in the KV cache.
     pub context_tokens: u32,
-    /// Model, or model and adapter, under which the prompt is cached.
+    /// Hash of the model, or of the model and adapter, under which the prompt is
+    /// cached.
     pub weights: NameHash,
-    /// Parts of the prompt, which the engine holds from now on.
+    /// Blocks of the prompt, which the engine caches from now on.
     pub blocks: Vec<PromptBlock>,
-    /// Account, and the units admitted for it since the VM's process started.
+    /// Account, with the units admitted for it since the VM's process started.
     pub account: Option<(AccountId, u64)>,
 }
 
 /// Requests that a VM is sending to engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunUpdate {
-    /// Random number of the process.
+    /// Random number that identifies the process.
     pub incarnation: u64,
     /// Requests, oldest first.
     pub runs: Vec<SentRun>,
 }
 
-/// One message.
+/// Message between VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Regular news.
+    /// Periodic heartbeat.
     Heartbeat(Box<PeerHeartbeat>),
     /// Requests being sent to engines.
     Runs(RunUpdate),
-    /// News of placement.
+    /// Update of the placement.
     Placement(Box<PlacementUpdate>),
-    /// Changes of endpoints' entries.
+    /// Changes to endpoints' entries.
     Entries(EntryUpdate),
-    /// A request waits for an adapter, or has used it.
+    /// A request needs an adapter or has used it.
     AdapterWanted {
-        /// Endpoint that should load it.
+        /// Endpoint that should load the adapter.
         endpoint: EndpointId,
-        /// Model.
+        /// Model of the adapter.
         model: ModelId,
-        /// Adapter.
+        /// Requested adapter.
         adapter: AdapterId,
     },
     /// An adapter is loaded.
@@ -171,18 +174,18 @@
     },
 }
 
-/// One change of an endpoint's entry, as the store holds it.
+/// Change to an endpoint's entry in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryChange {
     /// Name of the entry.
     pub name: Box<str>,
     /// Revision of the change.
     pub revision: u64,
-    /// Content as JSON; none when the entry was deleted.
+    /// Content as JSON; `None` when the entry was deleted.
     pub spec: Option<Box<str>>,
 }
 
-/// Changes of endpoints' entries that follow each other.
+/// Consecutive changes to endpoints' entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryUpdate {
     /// Revision of the newest change before these.
@@ -191,11 +194,11 @@
     pub changes: Vec<EntryChange>,
 }
 
-/// A message with its sender.
+/// Message with its sender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerEnvelope {
-    /// Sender.
+    /// VM that sent the message.
     pub from: VmId,
-    /// Message.
+    /// Content.
     pub message: PeerMessage,
 }
--- a/crates/clementinepond_dispatch/src/peer/mod.rs
+++ b/crates/clementinepond_dispatch/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between VMs, and the table of known peers.
+//! Messages between VMs and the table of peers.
 
 mod message;
 mod peer_table;
--- a/crates/clementinepond_dispatch/src/peer/peer_table.rs
+++ b/crates/clementinepond_dispatch/src/peer/peer_table.rs
@@ -1,4 +1,4 @@
-//! The other VMs, as far as this one knows.
+//! Membership and last known state of the other VMs.
 
 use super::{ModelDemand, PeerHeartbeat};
 use crate::load::NameHash;
@@ -8,65 +8,68 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Silence after which a peer no longer counts as heard; several news are
-/// sent within it, so that lost datagrams alone do not silence a peer.
+/// Time without contact after which a peer is no longer live. Several heartbeats are
+/// sent within it, so that a lost datagram does not matter.
 const LIVENESS_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
-/// Peers for which the silence is doubled, since news come less often in a
-/// larger fleet.
+/// Number of peers at which the liveness timeout is doubled, since heartbeats are less
+/// frequent in a larger fleet.
 const TIMEOUT_DOUBLING_PEERS: u64 = 70;
-/// VMs of a data centre that watch the store for the others; two, so that one
-/// may be lost.
+/// Number of VMs of a data centre that watch the store for the others; two, so that one
+/// may fail.
 const WATCHERS_PER_DATA_CENTRE: usize = 2;
-/// Largest fleet in which every VM watches the store itself.
+/// Largest number of VMs in a fleet, this one included, in which every VM watches the
+/// store itself.
 pub const SMALL_FLEET_MAX_VMS: usize = 12;
-/// Silence after which a peer no longer counts at all; longer than the
-/// partitions that the platform announces.
+/// Time without contact after which a peer is removed; longer than the partitions that
+/// the platform announces.
 const PEER_EXPIRY: TimeSpan = TimeSpan::from_secs(25);
 
-/// Age of the last message up to which a VM knows what a peer admits; a few times
-/// the usual gap between a busy peer's requests.
+/// Age of the last contact up to which a peer's usage counts as known; a few times the
+/// usual interval between a busy peer's requests.
 const FRESH_CONTACT_AGE: TimeSpan = TimeSpan::from_millis(500);
-/// Part of the peers that must be heard so lately: enough of those in contact
-/// are, by chance, and too few when a tenth of the fleet and more is cut off.
+/// Share of the peers that must have been in contact within that age, as numerator and
+/// denominator. Not every live peer sends a request in that time, but enough do; when a
+/// tenth of the fleet or more is cut off, too few do.
 const FRESH_PEER_SHARE: (usize, usize) = (3, 4);
 
-/// Link beyond which a VM watches as well as any other, in megabits a second.
+/// Bandwidth above which a wider link no longer raises a VM's watcher rank, in megabits
+/// per second.
 const MAX_RANKED_LINK_MBPS: u32 = 100;
-/// Key of the line of watchers.
+/// Rendezvous key that orders the watchers.
 const WATCHER_RANK_KEY: u64 = 1;
 
-/// One peer.
+/// Last known state of a peer.
 #[derive(Debug, Clone)]
 pub struct PeerState {
     /// Address for messages.
     pub address: SocketAddrV4,
-    /// Last news.
+    /// Last heartbeat; `None` until one has arrived.
     pub heartbeat: Option<Box<PeerHeartbeat>>,
-    /// Moment of the last news, or of the first mention.
+    /// Time of the last contact with the peer's process, or of the first mention.
     pub last_seen: LocalTime,
 }
 
-/// Units of an account that a peer admitted since its last news.
+/// Units of an account that a peer admitted since its last message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RemoteUsage {
-    /// Account.
+    /// Account that the units belong to.
     pub account: AccountId,
-    /// Units.
+    /// Number of units; negative after a refund.
     pub units: f64,
-    /// Level of the peer's bucket.
+    /// Level of the peer's copy of the bucket.
     pub level: f64,
-    /// Whether this is the first news of that process.
+    /// Whether this is the first heartbeat from that VM.
     pub is_first: bool,
 }
 
-/// All peers.
+/// Table of the other VMs.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<VmId, PeerState>,
 }
 
 impl PeerTable {
-    /// Notes that a peer exists.
+    /// Adds a peer or updates its address; returns whether either was new.
     pub fn learn(&mut self, vm: &VmId, address: SocketAddrV4, now: LocalTime) -> bool {
         if let Some(peer) = self.peers.get_mut(vm) {
             let is_moved = peer.address != address;
@@ -82,8 +85,10 @@
         true
     }
 
-    /// Takes over news; returns what the peer's accounts used, or nothing when
-    /// the news are out of date.
+    /// Records a heartbeat.
+    ///
+    /// Returns the usage of the peer's accounts since its last one, or `None` when the
+    /// heartbeat is out of date.
     pub fn record_heartbeat(
         &mut self,
         vm: &VmId,
@@ -120,8 +125,10 @@
         Some(uses)
     }
 
-    /// Notes what a peer has admitted for an account; returns the units since its
-    /// last message, or nothing when the peer's process is not known.
+    /// Records the units that a peer has admitted for an account.
+    ///
+    /// Returns the units since its last message, or `None` when the peer's process or
+    /// its use of the account is not known.
     pub fn record_admitted(
         &mut self,
         vm: &VmId,
@@ -142,7 +149,7 @@
         Some(units)
     }
 
-    /// Notes that a peer's process was heard.
+    /// Records contact with a peer, if the process is the one of its last heartbeat.
     pub fn record_contact(&mut self, vm: &VmId, incarnation: u64, now: LocalTime) {
         if let Some(peer) = self.peers.get_mut(vm) {
             let heartbeat = peer.heartbeat.as_ref();
@@ -152,7 +159,7 @@
         }
     }
 
-    /// Tells whether knowledge of the peers' quota use is up to date.
+    /// Returns whether the knowledge of the peers' usage is up to date.
     #[must_use]
     pub fn is_usage_fresh(&self, now: LocalTime) -> bool {
         let fresh = self
@@ -165,7 +172,8 @@
         fresh * FRESH_PEER_SHARE.1 >= self.peers.len() * FRESH_PEER_SHARE.0
     }
 
-    /// Forgets peers that have been silent for long; returns their names.
+    /// Removes peers without contact for longer than [`PEER_EXPIRY`]; returns their
+    /// IDs.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<VmId> {
         let gone: Vec<VmId> = self
             .peers
@@ -184,7 +192,7 @@
         self.peers.iter()
     }
 
-    /// Returns the peers that were heard lately.
+    /// Returns the live peers.
     pub fn live(&self, now: LocalTime) -> impl Iterator<Item = (&VmId, &PeerState)> {
         let peers = self.peers.len() as u64;
         let silence =
@@ -194,10 +202,10 @@
         })
     }
 
-    /// Returns a VM's place in line for watching the store in its data centre,
-    /// the same on all VMs that hear each other.
+    /// Returns the rank of a VM among the watcher candidates of its data centre.
     ///
-    /// VMs whose links carry the news of a whole data centre come first.
+    /// The rank is the same on all VMs that are in contact with each other. VMs whose
+    /// links can carry the changes for a whole data centre come first.
     #[must_use]
     pub fn watch_rank(
         &self,
@@ -225,7 +233,8 @@
             .count()
     }
 
-    /// Tells whether a VM watches the store itself rather than hear of changes.
+    /// Returns whether a VM watches the store itself rather than receive changes from
+    /// peers.
     #[must_use]
     pub fn is_watcher(
         &self,
@@ -238,13 +247,13 @@
         is_small || self.watch_rank(me, link_mbps, data_centre, now) < WATCHERS_PER_DATA_CENTRE
     }
 
-    /// Returns the number of peers that were heard lately, and of all.
+    /// Returns the number of live peers and of all peers.
     #[must_use]
     pub fn peer_counts(&self, now: LocalTime) -> (usize, usize) {
         (self.live(now).count(), self.peers.len())
     }
 
-    /// Returns the holder of the placement duty, with its fencing number.
+    /// Returns the live holder of the placement lease, with its fencing number.
     #[must_use]
     pub fn lease_holder(&self, now: LocalTime) -> Option<(&VmId, u64)> {
         self.live(now)
@@ -252,7 +261,7 @@
             .max_by_key(|(_, fence)| *fence)
     }
 
-    /// Returns the time since a peer was last heard.
+    /// Returns the time since the last contact with a peer.
     #[must_use]
     pub fn age(&self, vm: &VmId, now: LocalTime) -> TimeSpan {
         self.peers
@@ -273,8 +282,8 @@
         Some(&heartbeat.data_centre)
     }
 
-    /// Returns the units of each account that are asked a second at all peers
-    /// that were heard lately.
+    /// Returns the units requested per second of each account, summed over the live
+    /// peers.
     #[must_use]
     pub fn requested_per_s(&self, now: LocalTime) -> FnvHashMap<AccountId, f64> {
         let mut sum: FnvHashMap<AccountId, f64> = FnvHashMap::default();
@@ -291,7 +300,7 @@
         sum
     }
 
-    /// Returns the demand of all peers that were heard lately.
+    /// Returns the demand for each model, summed over the live peers.
     #[must_use]
     pub fn demand(&self, now: LocalTime) -> FnvHashMap<NameHash, ModelDemand> {
         let mut sum: FnvHashMap<NameHash, ModelDemand> = FnvHashMap::default();
@@ -309,7 +318,7 @@
     }
 }
 
-/// Returns how much a count has grown; it falls when a request is refunded.
+/// Returns the change of a count, which is negative after a refund.
 fn difference(after: u64, before: u64) -> f64 {
     after as f64 - before as f64
 }
--- a/crates/clementinepond_dispatch/src/place/choose.rs
+++ b/crates/clementinepond_dispatch/src/place/choose.rs
@@ -1,33 +1,35 @@
-//! Choice of the next move.
+//! Selection of the next placement move.
 
 use super::view::{EngineView, PlacementView};
 use clementinepond_types::TimeSpan;
 
-/// Work a copy above which a model deserves another one, in engines.
+/// Utilization per copy above which a model gets another copy, in engines.
 const COPY_UTILIZATION_LIMIT: f64 = 0.22;
-/// The same for a model with one copy, whose loss would stop its requests for
-/// a whole load.
+/// Utilization above which a model with a single copy gets a second one, in engines.
+/// Losing the only copy would stop the model's requests for the duration of a load.
 const SINGLE_COPY_UTILIZATION_LIMIT: f64 = 0.08;
-/// Share of the crowded model's work a copy that a model giving up a copy may
-/// reach at most; keeps moves from going back and forth.
+/// Highest utilization per copy that a model may reach by an eviction, as a share of
+/// that of the model to load. Keeps moves from oscillating.
 const EVICTION_UTILIZATION_RATIO: f64 = 0.6;
 /// Age below which a copy is not evicted.
 const MIN_EVICTION_AGE: TimeSpan = TimeSpan::from_secs(4);
 
-/// One move: evict copies from an engine, then load a model there.
+/// Move that evicts copies from an engine and then loads a model there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementMove {
-    /// Index of the engine.
+    /// Index into the view's engines.
     pub engine: usize,
     /// Indices of the models to unload first.
     pub unload: Vec<usize>,
     /// Index of the model to load.
     pub load: usize,
-    /// Whether the weights come from the weight store.
+    /// Whether the weights are loaded from the weight store.
     pub from_store: bool,
 }
 
-/// Chooses the most useful move, if there is one worth its cost.
+/// Returns the most useful move that is possible, or `None`.
+///
+/// Models without a copy come first, then those with the highest utilization per copy.
 #[must_use]
 pub fn choose_move(view: &PlacementView) -> Option<PlacementMove> {
     let copies = count_copies(view);
@@ -67,7 +69,7 @@
         })
 }
 
-/// Counts the copies of each model that serve or will serve.
+/// Counts the copies of each model that serve or may come to serve.
 fn count_copies(view: &PlacementView) -> Vec<usize> {
     let mut copies = vec![0; view.models.len()];
     for engine in view.engines.iter().filter(|engine| engine.is_usable) {
@@ -129,8 +131,9 @@
     best.map(|(_, chosen)| chosen)
 }
 
-/// Chooses copies to evict so that the model fits; returns them with the
-/// work a copy that the worst of them will reach.
+/// Selects the copies to evict so that the model fits.
+///
+/// Returns them with the highest utilization per copy that the eviction causes.
 fn make_room(
     view: &PlacementView,
     engine: &EngineView,
@@ -164,8 +167,8 @@
     (free >= needed).then_some((unload, loss))
 }
 
-/// Returns the time that an engine needs to load a model, given the times from
-/// the weight store, from disk and from host memory.
+/// Returns an engine's load time for a model, given the times from the weight store,
+/// from disk and from host memory.
 pub(super) fn load_time(engine: &EngineView, model: usize, times: [TimeSpan; 3]) -> TimeSpan {
     let [store, disk, memory] = times;
     if engine.in_memory.contains(&model) {
--- a/crates/clementinepond_dispatch/src/place/demand.rs
+++ b/crates/clementinepond_dispatch/src/place/demand.rs
@@ -5,25 +5,25 @@
 use clementinepond_types::LocalTime;
 use fnv::FnvHashMap;
 
-/// Time constant of the moving averages, in seconds; short against the
-/// seconds within which demand moves to other models.
+/// Decay time of the moving averages, in seconds; short, since demand shifts between
+/// models within seconds.
 const DECAY_TIME_S: f64 = 1.5;
-/// Demand below which a model is dropped from the news, in tokens a second; a
-/// single request stays in the news for some seconds.
+/// Demand below which a model is dropped from the heartbeat, in tokens per second. A
+/// single request stays above it for some seconds.
 const MIN_REPORTED_TOKENS_PER_S: f32 = 3.0;
-/// Prompt tokens that one engine reads in a second while it also generates.
+/// Prompt tokens per second that an engine processes while it also generates.
 const PREFILL_TOKENS_PER_S: f64 = 24_000.0;
-/// Tokens that one engine generates in a second with a comfortable batch.
+/// Tokens per second that an engine generates at a moderate batch size.
 const OUTPUT_TOKENS_PER_S: f64 = 3_000.0;
 
-/// Moving averages of the demand for each model.
+/// Exponentially decaying averages of the demand for each model.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
     models: FnvHashMap<NameHash, (ModelDemand, LocalTime)>,
 }
 
 impl DemandMeter {
-    /// Counts one request, served or not.
+    /// Counts a request, whether or not it is served.
     pub fn record(&mut self, model: NameHash, prefill: u64, output: u64, now: LocalTime) {
         let (demand, at) = self
             .models
@@ -36,7 +36,8 @@
         demand.output_per_s += output as f32 * step;
     }
 
-    /// Returns the demand as of now.
+    /// Returns the current demand for each model and drops models with negligible
+    /// demand.
     pub fn snapshot(&mut self, now: LocalTime) -> Vec<(NameHash, ModelDemand)> {
         let current: Vec<_> = self
             .models
@@ -63,7 +64,7 @@
     }
 }
 
-/// Converts demand to the number of engines that it keeps busy.
+/// Returns the number of engines that a demand keeps busy.
 #[must_use]
 pub fn utilization(demand: ModelDemand) -> f64 {
     f64::from(demand.prefill_per_s) / PREFILL_TOKENS_PER_S
--- a/crates/clementinepond_dispatch/src/place/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/mod.rs
@@ -1,9 +1,9 @@
 //! Placement of models and adapters on the engines of a service.
 //!
-//! Answers demand that moves between models within seconds: the busy models
-//! get as many copies as memory allows, every model keeps one. `choose`
-//! decides which copy to add and which to evict; `planner` turns that into
-//! orders, each of which is safe for any outcome of the pending ones.
+//! Demand shifts between models within seconds. Busy models get as many copies as
+//! memory allows, and every model keeps at least one. `choose` decides which copy to
+//! load and which to evict. `planner` turns these moves into orders to endpoints; each
+//! order is safe for any outcome of the pending ones.
 
 mod choose;
 mod demand;
--- a/crates/clementinepond_dispatch/src/place/order.rs
+++ b/crates/clementinepond_dispatch/src/place/order.rs
@@ -1,70 +1,70 @@
-//! Orders to endpoints and their answers.
+//! Orders to endpoints and the replies.
 
 use crate::fleet::HostedModel;
 use clementinepond_types::{AdapterId, EndpointId, ModelId};
 use std::net::SocketAddrV4;
 
-/// Operation ordered of an endpoint.
+/// Operation that an endpoint is ordered to perform.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum EndpointOrder {
-    /// Load a model's newest weights.
+    /// Load the newest version of a model's weights.
     LoadModel(ModelId),
-    /// Finish a model's runs and drop it.
+    /// Unload a model once its running requests have ended.
     UnloadModel(ModelId),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a model that the endpoint holds.
     LoadAdapter(ModelId, AdapterId),
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter(ModelId, AdapterId),
 }
 
-/// An order on its way.
+/// Order as it is sent to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SentOrder {
-    /// Endpoint.
+    /// Endpoint that receives the order.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddrV4,
-    /// Order.
+    /// Operation to perform.
     pub order: EndpointOrder,
-    /// Orders that the endpoint must have accepted before; makes a late copy
-    /// of the order fail.
+    /// Number of orders that the endpoint must have accepted before this one; the
+    /// endpoint rejects a delayed duplicate, whose number no longer matches.
     pub after: u64,
-    /// Fencing number of the holder.
+    /// Fencing number of the lease holder.
     pub fence: u64,
 }
 
-/// Outcome of an order.
+/// Outcome of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// It is being carried out.
+    /// The endpoint performs the order.
     Accepted,
     /// The endpoint is already in the requested state.
     Holds,
-    /// Another order is under way, or the count of orders differs.
+    /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
-    /// The endpoint refuses it for good.
+    /// The endpoint rejects the order permanently.
     Refused,
     /// The address belongs to another endpoint.
     Stranger,
-    /// No connection was made; the order was not sent.
+    /// No connection was made, so the order was not sent.
     NotSent,
-    /// No answer; it may be carried out later.
+    /// No reply came; the order may still be performed.
     Unknown,
 }
 
-/// An endpoint's own account of its state.
+/// State that an endpoint reports about itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointStatus {
-    /// Models with their adapters.
+    /// Loaded models, each with its loaded adapters.
     pub models: Vec<HostedModel>,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub is_busy: bool,
-    /// Orders accepted.
+    /// Number of orders that the endpoint has accepted.
     pub order_count: u64,
-    /// Adapters in transit, as model and adapter.
+    /// Adapters being loaded, as model and adapter.
     pub pending: Vec<(ModelId, AdapterId)>,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
 }
--- a/crates/clementinepond_dispatch/src/place/order_tracker.rs
+++ b/crates/clementinepond_dispatch/src/place/order_tracker.rs
@@ -1,4 +1,5 @@
-//! Upper bound of what one endpoint holds, given orders of unknown outcome.
+//! Tracks the orders to one endpoint and bounds what it may hold while their outcome is
+//! unknown.
 
 use super::order::{EndpointOrder, OrderReply};
 use crate::fleet::EndpointEntry;
@@ -6,71 +7,76 @@
 use fnv::FnvHashMap;
 use std::collections::BTreeSet;
 
-/// Time within which an endpoint may still carry out an order that it left
-/// unanswered.
+/// Time within which an endpoint may still perform an order that it did not reply to.
 const LATE_ORDER_TIMEOUT: TimeSpan = TimeSpan::from_secs(14);
-/// Time after which an accepted model load that never showed is written off.
+/// Time after which an accepted model load or unload is considered lost if the
+/// endpoint's entry does not show it.
 const MODEL_ORDER_TIMEOUT: TimeSpan = TimeSpan::from_secs(20);
 
-/// Pause between two orders to an endpoint that is dropping an adapter in use.
+/// Delay before the next order to an endpoint that is still unloading an adapter in
+/// use.
 const ADAPTER_UNLOAD_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(300);
 
-/// Where one adapter stands at one endpoint.
+/// State of an adapter at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdapterPhase {
-    /// An order to load it was accepted a moment ago.
+    /// A load order was accepted.
     Loading,
-    /// It is there.
+    /// The adapter is loaded.
     Loaded,
-    /// An order to drop it is carried out.
+    /// An unload order is in progress.
     Unloading,
 }
 
-/// One adapter at one endpoint.
+/// Adapter at one endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct HeldAdapter {
-    /// Where it stands.
+    /// State of the adapter.
     pub phase: AdapterPhase,
-    /// Moment of the last request for it.
+    /// Time of the last request for the adapter.
     pub used_at: LocalTime,
-    /// Moment at which it is loaded.
+    /// Time at which the adapter is expected to be loaded; after an accepted unload,
+    /// the time of its acceptance.
     pub ready_at: LocalTime,
 }
 
-/// Orders to one endpoint in one life.
+/// Orders to one endpoint during one incarnation.
 #[derive(Debug, Default)]
 pub struct OrderTracker {
-    /// Start of the life, in Unix milliseconds.
+    /// Start of the incarnation, as a Unix time in milliseconds.
     pub started_ms: u64,
-    /// Orders that the endpoint has accepted; unknown until its status is read.
+    /// Number of orders that the endpoint has accepted; `None` until its status is
+    /// read.
     pub order_count: Option<u64>,
-    /// Orders that the endpoint has accepted at least.
+    /// Lower bound of the number of accepted orders.
     count_floor: u64,
-    /// Models that the endpoint's last status named and that may still be there.
+    /// Models in the endpoint's last status that it may still hold.
     reported: BTreeSet<ModelId>,
-    /// Order on its way, with the moment of sending.
+    /// Order awaiting a reply, with the time of sending.
     pub in_flight: Option<(EndpointOrder, LocalTime)>,
-    /// Orders without an answer, and until when they may be carried out.
+    /// Orders without a reply, with the time until which they may be performed.
     unresolved: Vec<(EndpointOrder, LocalTime)>,
-    /// Model being loaded: accepted, not yet listed.
+    /// Model whose load order was accepted but which is not listed yet, with the time
+    /// of acceptance.
     pub loading: Option<(ModelId, LocalTime)>,
-    /// Model being unloaded: accepted, still listed.
+    /// Model whose unload order was accepted but which is still listed, with the time
+    /// of acceptance.
     pub unloading: Option<(ModelId, LocalTime)>,
-    /// Adapters.
+    /// Adapters that the endpoint holds, loads or unloads.
     pub adapters: FnvHashMap<(ModelId, AdapterId), HeldAdapter>,
-    /// Moment before which nothing is ordered.
+    /// Time before which no order is sent.
     pub pause_until: LocalTime,
-    /// Moment at which each model arrived; those that were there from the
-    /// start of the book are missing.
+    /// Time at which each model was first listed. Models that were listed when tracking
+    /// began have no time.
     pub arrived_at: FnvHashMap<ModelId, LocalTime>,
-    /// Models that the last entry listed.
+    /// Models in the endpoint's previous entry.
     listed: BTreeSet<ModelId>,
-    /// Moment of the last accepted order.
+    /// Time at which the last order took effect.
     pub accepted_at: LocalTime,
 }
 
 impl OrderTracker {
-    /// Takes over the endpoint's description; a new life starts a new book.
+    /// Updates the state from an endpoint's entry; a new incarnation resets it.
     pub fn record_entry(&mut self, entry: &EndpointEntry, now: LocalTime) {
         let is_new = entry.started_ms != self.started_ms;
         if is_new {
@@ -114,20 +120,21 @@
             .retain(|(model, _), _| entry.hosted(model).is_some() || reported.contains(model));
     }
 
-    /// Notes an endpoint's own account of its models and orders.
+    /// Records the models and the order count that an endpoint reports.
     pub fn record_status(&mut self, models: BTreeSet<ModelId>, order_count: u64) {
         self.reported = models;
         self.count_floor = self.count_floor.max(order_count);
         self.order_count = Some(self.count_floor);
     }
 
-    /// Notes that the entry, which still lists a model being unloaded, will
-    /// show when it is gone.
+    /// Drops a model being unloaded from the reported ones.
+    ///
+    /// Used when the entry still lists the model and will therefore show its removal.
     pub fn clear_reported(&mut self, model: &ModelId) {
         self.reported.remove(model);
     }
 
-    /// Returns every model that the endpoint may hold or come to hold.
+    /// Returns every model that the endpoint holds or may come to hold.
     #[must_use]
     pub fn possible_models(&self, entry: &EndpointEntry) -> BTreeSet<ModelId> {
         let listed = entry.models.iter().map(|hosted| hosted.id.clone());
@@ -137,7 +144,7 @@
             .collect()
     }
 
-    /// Tells whether only a fresh status can show what the endpoint holds.
+    /// Returns whether only a new status can show what the endpoint holds.
     #[must_use]
     pub fn needs_status(&self, entry: &EndpointEntry) -> bool {
         let is_unlisted = |(model, _): &(ModelId, LocalTime)| {
@@ -146,14 +153,15 @@
         self.order_count.is_none() || self.unloading.as_ref().is_some_and(is_unlisted)
     }
 
-    /// Notes an order's answer.
+    /// Updates the state from the reply to an order.
     pub fn record_reply(&mut self, order: &EndpointOrder, reply: OrderReply, now: LocalTime) {
         self.in_flight = None;
         match reply {
             OrderReply::Accepted => {
                 self.advance();
                 self.accepted_at = now;
-                // The count moved on, so earlier copies fail their condition.
+                // The order count has advanced, so the endpoint rejects delayed
+                // duplicates.
                 self.unresolved.clear();
                 self.record_accepted(order, now);
             }
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Tells whether an adapter that was in use is being dropped.
+    /// Returns whether an adapter in use is being unloaded.
     fn is_unloading_adapter(&self) -> bool {
         let is_unloading = |held: &HeldAdapter| held.phase == AdapterPhase::Unloading;
         self.adapters.values().any(is_unloading)
@@ -199,7 +207,7 @@
                     used_at: now,
                     ready_at: now,
                 };
-                // The endpoint takes no order before it has dropped an adapter.
+                // The endpoint accepts no order until it has unloaded an adapter.
                 self.adapters
                     .retain(|_, held| held.phase != AdapterPhase::Unloading);
                 self.adapters.insert((model.clone(), adapter.clone()), held);
@@ -225,7 +233,8 @@
                 self.order_count = None;
             }
             EndpointOrder::UnloadAdapter(model, adapter) => {
-                // An idle adapter is dropped at once, which counts as an order.
+                // An idle adapter is unloaded at once, which counts as an accepted
+                // order.
                 self.adapters.remove(&(model.clone(), adapter.clone()));
                 self.advance();
                 self.unresolved.clear();
@@ -236,7 +245,7 @@
         }
     }
 
-    /// Returns the orders that may still be carried out.
+    /// Returns the orders that may still be performed.
     pub fn unresolved(&self) -> impl Iterator<Item = &EndpointOrder> {
         self.unresolved
             .iter()
@@ -244,7 +253,7 @@
             .chain(self.in_flight.iter().map(|(order, _)| order))
     }
 
-    /// Returns models that the endpoint may come to hold without being listed.
+    /// Returns the models that the endpoint may come to hold without listing them yet.
     pub fn arriving(&self) -> impl Iterator<Item = &ModelId> {
         let unresolved = self.unresolved().filter_map(|order| match order {
             EndpointOrder::LoadModel(model) => Some(model),
@@ -253,7 +262,7 @@
         unresolved.chain(self.loading.iter().map(|(model, _)| model))
     }
 
-    /// Returns the adapters that may take up slots.
+    /// Returns the number of adapter slots that may be taken.
     #[must_use]
     pub fn adapter_slots_taken(&self) -> usize {
         let arriving = self
@@ -267,7 +276,7 @@
         self.adapters.values().filter(is_staying).count() + arriving
     }
 
-    /// Tells whether an order may be sent now.
+    /// Returns whether an order may be sent now.
     #[must_use]
     pub fn is_idle(&self, now: LocalTime) -> bool {
         self.in_flight.is_none() && now >= self.pause_until
--- a/crates/clementinepond_dispatch/src/place/planner/adapters.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters that requests wait for.
+//! Loads adapters that requests wait for.
 
 use super::{AdapterWait, PlacementPlanner, PlannerEffect, PlannerInput, adapter_hash};
 use crate::fleet::EnginePolicy;
@@ -8,8 +8,8 @@
 use crate::place::order_tracker::AdapterPhase;
 use clementinepond_types::{LocalTime, TimeSpan};
 
-/// Time after its last request for which an adapter is not displaced: an adapter
-/// that a stream still uses blocks all further orders until the stream ends.
+/// Time since the last request for an adapter before it may be evicted. An adapter that
+/// a stream still uses blocks all further orders until the stream ends.
 const ADAPTER_MIN_IDLE: TimeSpan = TimeSpan::from_millis(2_500);
 
 enum AdapterStep {
--- a/crates/clementinepond_dispatch/src/place/planner/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/mod.rs
@@ -1,5 +1,5 @@
-//! The holder's state: one order book an endpoint, the moves under way and
-//! the adapters that requests wait for.
+//! Placement planner of the lease holder: one order tracker per endpoint, the moves in
+//! progress and the adapters that requests wait for.
 
 mod adapters;
 mod moves;
@@ -14,51 +14,54 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// Time that orders of a move take beside the load itself.
+/// Time that the orders of a move take in addition to the load itself.
 const MOVE_ORDER_OVERHEAD: TimeSpan = TimeSpan::from_millis(300);
-/// Time between two searches for moves.
+/// Interval between searches for moves.
 const MOVE_SEARCH_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
-/// Time between two readings of an endpoint's status.
+/// Interval between reads of an endpoint's status.
 const STATUS_READ_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
-/// Age of an accepted order up to which a status may not show it yet.
+/// Time for which a status may not yet show an accepted order.
 const STATUS_LAG: TimeSpan = TimeSpan::from_millis(500);
-/// Time from an accepted adapter load to its use; the adapters' usual load time.
+/// Time from an accepted adapter load until the adapter is usable; the usual load time
+/// of adapters.
 const ADAPTER_LOAD_TIME: TimeSpan = TimeSpan::from_millis(14);
-/// Time after which a wait for an adapter is dropped; callers have gone elsewhere.
+/// Time after which a wait for an adapter is dropped, since its callers have been sent
+/// elsewhere.
 const ADAPTER_WAIT_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
-/// Loads from the weight store that may be saved up.
+/// Limit of unused load credit for the weight store, in loads, unless its rate per
+/// second is higher.
 const STORE_CREDIT_LIMIT: f64 = 3.0;
 
-/// What the holder asks its edge to do.
+/// Action that the I/O layer performs for the planner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannerEffect {
-    /// Send an order.
+    /// Send an order to an endpoint.
     Send(SentOrder),
     /// Read an endpoint's status.
     ReadStatus {
-        /// Endpoint.
+        /// Endpoint to read.
         endpoint: EndpointId,
-        /// Its address.
+        /// Address of the endpoint.
         address: SocketAddrV4,
     },
-    /// Tell a VM that an adapter is there.
+    /// Notify a VM that an adapter is loaded.
     AdapterReady {
-        /// VM that waits.
+        /// VM that requested the adapter.
         vm: VmId,
-        /// Where it is.
+        /// Endpoint and adapter.
         place: AdapterLocation,
     },
-    /// A move was started; for the log.
+    /// Log that a move was started.
     MoveStarted {
-        /// Endpoint.
+        /// Endpoint on which the move takes place.
         endpoint: EndpointId,
-        /// Models that make way.
+        /// Models to unload.
         unload: Vec<ModelId>,
-        /// Model that comes.
+        /// Model to load.
         load: ModelId,
-        /// Work a copy that called for the move, in thousandths of an engine.
+        /// Utilization of the model to load, in thousandths of an engine.
         utilization_milli: u64,
-        /// Whether the weights come from the weight store.
+        /// Whether the weights are loaded from the weight store.
         from_store: bool,
     },
 }
@@ -69,7 +72,7 @@
     load: ModelId,
     from_store: bool,
     is_charged: bool,
-    /// Expected time of the load.
+    /// Expected duration of the load.
     load_time: TimeSpan,
     unload_from: LocalTime,
 }
@@ -83,24 +86,24 @@
     since: LocalTime,
 }
 
-/// What the holder knows of the service at one moment.
+/// State of the service that a planner step is based on.
 #[derive(Debug)]
 pub struct PlannerInput<'a> {
-    /// Engines of the service.
+    /// Engine policy of the service.
     pub policy: &'a EnginePolicy,
-    /// Endpoints, and whether each takes requests and orders.
+    /// Endpoints of the service, each with whether it takes requests and orders.
     pub endpoints: Vec<(&'a EndpointEntry, bool)>,
-    /// Demand over all VMs.
+    /// Demand for each model over all VMs.
     pub demand: &'a FnvHashMap<NameHash, ModelDemand>,
-    /// Fencing number.
+    /// Fencing number of the lease.
     pub fence: u64,
 }
 
-/// Placement of one service.
+/// Placement planner of one service.
 #[derive(Debug, Default)]
 pub struct PlacementPlanner {
     trackers: BTreeMap<EndpointId, OrderTracker>,
-    /// Models that the endpoints' entries listed at the last step.
+    /// Models that each endpoint's entry listed at the last step.
     listed: BTreeSet<(EndpointId, ModelId)>,
     status_requested_at: FnvHashMap<EndpointId, LocalTime>,
     moves: BTreeMap<EndpointId, MoveTask>,
@@ -108,14 +111,14 @@
     store_credit: f64,
     credited_at: LocalTime,
     next_search: LocalTime,
-    /// Moment since which no endpoint holds a model.
+    /// Time since which no usable endpoint has listed the model.
     lost_since: FnvHashMap<ModelId, LocalTime>,
-    /// Moment before which a status may not show the last holder's orders.
+    /// Time until which a status may not show the previous holder's orders.
     status_stale_until: LocalTime,
 }
 
 impl PlacementPlanner {
-    /// Makes the state of a VM that has just become the holder.
+    /// Creates the planner of a VM that has just become the lease holder.
     #[must_use]
     pub fn new(now: LocalTime) -> Self {
         Self {
@@ -125,19 +128,19 @@
         }
     }
 
-    /// Starts over as the holder; what earlier holders did is read again.
+    /// Discards all state, so that the effects of earlier holders are read again.
     pub fn reset(&mut self, now: LocalTime) {
         *self = Self::new(now);
     }
 
-    /// Goes on as the holder after a lapse in which nobody else held the duty.
+    /// Continues after an expired lease that no other VM held in between.
     pub fn resume(&mut self) {
         for tracker in self.trackers.values_mut() {
             tracker.order_count = None;
         }
     }
 
-    /// Notes that a request at a VM needs an adapter, or has used it.
+    /// Records that a request at a VM needs an adapter or has used it.
     pub fn request_adapter(
         &mut self,
         vm: &VmId,
@@ -169,7 +172,7 @@
         });
     }
 
-    /// Notes an order's answer.
+    /// Updates the endpoint's state from the reply to an order.
     pub fn record_reply(
         &mut self,
         endpoint: &EndpointId,
@@ -193,24 +196,23 @@
         }
     }
 
-    /// Takes over an endpoint's status that was asked for at `demand_updated_at`.
+    /// Updates the endpoint's state from a status that was requested at `requested_at`.
     pub fn record_status(
         &mut self,
         endpoint: &EndpointId,
         status: &EndpointStatus,
-        demand_updated_at: LocalTime,
+        requested_at: LocalTime,
         now: LocalTime,
     ) {
         let Some(tracker) = self.trackers.get_mut(endpoint) else {
             return;
         };
-        if tracker.in_flight.is_some() || demand_updated_at.since(tracker.accepted_at) <= STATUS_LAG
-        {
+        if tracker.in_flight.is_some() || requested_at.since(tracker.accepted_at) <= STATUS_LAG {
             return;
         }
         if status.is_busy && tracker.loading.is_none() && tracker.unloading.is_none() {
-            // An order of an earlier holder is under way; what it loads shows
-            // only when it is done.
+            // An earlier holder's order is in progress; the model that it loads shows
+            // only once it is done.
             return;
         }
         let models = status.models.iter().map(|hosted| hosted.id.clone());
@@ -258,7 +260,7 @@
         effects
     }
 
-    /// Returns what all VMs should know.
+    /// Returns the placement update for all VMs.
     #[must_use]
     pub fn update(&self, fence: u64, now: LocalTime) -> PlacementUpdate {
         let mut update = PlacementUpdate {
@@ -297,7 +299,7 @@
         update
     }
 
-    /// Tells whether a request waits for an adapter.
+    /// Returns whether requests wait for adapters.
     #[must_use]
     pub fn has_adapter_waits(&self) -> bool {
         !self.waits.is_empty()
@@ -388,7 +390,7 @@
     }
 }
 
-/// Returns the short name of an adapter of a model.
+/// Returns the hash that identifies an adapter of a model in messages.
 #[must_use]
 pub fn adapter_hash(model: &ModelId, adapter: &AdapterId) -> NameHash {
     NameHash::of(&format!("{model}/{adapter}"))
--- a/crates/clementinepond_dispatch/src/place/planner/moves.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/moves.rs
@@ -10,18 +10,18 @@
 use crate::place::view::{EngineView, ModelView, PlacementView};
 use clementinepond_types::{EndpointId, LocalTime, ModelId, TimeSpan};
 
-/// Time between the announcement that a copy closes and its unload; covers
-/// the news' way to all VMs.
+/// Time between the announcement of an unload and its order; covers the delivery of the
+/// placement update to all VMs.
 const UNLOAD_NOTICE: TimeSpan = TimeSpan::from_millis(300);
-/// Largest number of moves started by one search.
+/// Maximum number of moves started by one search.
 const MAX_MOVES_PER_SEARCH: usize = 4;
-/// Time for which a model without a copy may just be on its way back: endpoints
-/// list themselves within a heartbeat of their start.
+/// Time for which a model without a copy is expected to reappear: endpoints list
+/// themselves within a heartbeat of their start.
 const LOST_MODEL_TIMEOUT: TimeSpan = TimeSpan::from_millis(2_500);
-/// The same when requests ask for the model.
+/// The same for a model with demand.
 const DEMANDED_MODEL_TIMEOUT: TimeSpan = TimeSpan::from_millis(250);
-/// Bound on concurrent loads, as a part of the store's rate times the longest
-/// load; beyond it the store slows all loads down.
+/// Limit of concurrent loads, as a share of the store's rate times the longest load
+/// time; beyond it the store slows down all loads.
 const STORE_CONCURRENCY_SHARE: f64 = 0.87;
 
 impl PlacementPlanner {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Returns the next order of a move; forgets a move that is complete.
+    /// Returns the next order of a move; drops a move that is complete or no longer
+    /// fits.
     fn move_step(
         &mut self,
         policy: &EnginePolicy,
@@ -94,7 +95,7 @@
         Some(EndpointOrder::LoadModel(load))
     }
 
-    /// Notes since when each model has been without a copy.
+    /// Records since when each model has had no copy.
     pub(super) fn record_lost_models(&mut self, input: &PlannerInput<'_>, now: LocalTime) {
         for profile in &input.policy.models {
             let is_held = input
@@ -233,7 +234,7 @@
     }
 }
 
-/// Returns the memory that stays free even if all pending orders succeed.
+/// Returns the memory that stays free even if all pending orders succeed, in megabytes.
 fn free_mb(policy: &EnginePolicy, entry: &EndpointEntry, tracker: &OrderTracker) -> f64 {
     let size = |id: &ModelId| policy.model(id).map_or(0.0, |model| model.weights_mb);
     let held: f64 = tracker.possible_models(entry).iter().map(size).sum();
--- a/crates/clementinepond_dispatch/src/place/view.rs
+++ b/crates/clementinepond_dispatch/src/place/view.rs
@@ -1,52 +1,52 @@
-//! What the choice of moves looks at.
+//! Snapshot of engines and models from which moves are selected.
 
 use clementinepond_types::{EndpointId, ModelId, TimeSpan};
 
-/// One engine.
+/// State of one engine.
 #[derive(Debug, Clone)]
 pub struct EngineView {
-    /// Name.
+    /// Endpoint ID of the engine.
     pub id: EndpointId,
-    /// Whether it serves and takes orders.
+    /// Whether the engine takes requests and orders.
     pub is_usable: bool,
-    /// Whether a move is under way there.
+    /// Whether a move or an order is in progress or the engine's state is unknown.
     pub is_moving: bool,
     /// Memory that stays free even if all pending orders succeed, in megabytes.
     pub free_mb: f64,
-    /// Models that it serves: index into the models, and age of the copy.
+    /// Models that serve and stay, as index into the models and age of the copy.
     pub models: Vec<(usize, TimeSpan)>,
-    /// Models that it may come to hold, served ones included.
+    /// Models that the engine may come to hold, including those that serve.
     pub possible: Vec<usize>,
-    /// Models with weights in its host memory.
+    /// Models whose weights are in host memory.
     pub in_memory: Vec<usize>,
-    /// Models with weights on its disk.
+    /// Models whose weights are on disk.
     pub on_disk: Vec<usize>,
 }
 
-/// One model.
+/// State of one model.
 #[derive(Debug, Clone)]
 pub struct ModelView {
-    /// Name.
+    /// Model ID.
     pub id: ModelId,
-    /// Size, in megabytes.
+    /// Size of the weights, in megabytes.
     pub weights_mb: f64,
-    /// Engines that its demand keeps busy.
+    /// Number of engines that the demand keeps busy.
     pub utilization: f64,
-    /// Whether there is demand for it.
+    /// Whether there is demand for the model.
     pub has_demand: bool,
-    /// Whether a model without a copy is expected to return without a load.
+    /// Whether a model without a copy is expected to reappear without a load.
     pub is_return_expected: bool,
-    /// Load time from the weight store, from disk and from host memory.
+    /// Load times from the weight store, from disk and from host memory.
     pub load_times: [TimeSpan; 3],
 }
 
 /// Engines and models of one service.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementView {
-    /// Engines.
+    /// Engines of the service.
     pub engines: Vec<EngineView>,
-    /// Models.
+    /// Models of the service.
     pub models: Vec<ModelView>,
-    /// Whether a load from the weight store may begin now.
+    /// Whether a load from the weight store may start now.
     pub may_load_from_store: bool,
 }
--- a/crates/clementinepond_dispatch/src/quota/account_bucket.rs
+++ b/crates/clementinepond_dispatch/src/quota/account_bucket.rs
@@ -1,12 +1,12 @@
-//! One account's bucket as one VM sees it.
+//! Token bucket of one account, as one VM sees it.
 
 use clementinepond_types::{LocalTime, TimeSpan};
 
-/// Refill that peers' use may take in advance, in seconds; bounds how long an
+/// Refill time that use at peers may consume in advance, in seconds; bounds how long an
 /// account is refused after a partition heals.
 const MAX_DEBT_S: f64 = 10.0;
 
-/// Bucket of one account; units are those of the account's quota.
+/// Token bucket of one account, in the units of its quota.
 #[derive(Debug, Clone)]
 pub struct AccountBucket {
     rate_per_s: f64,
@@ -16,7 +16,7 @@
 }
 
 impl AccountBucket {
-    /// Makes a full bucket.
+    /// Creates a full bucket.
     #[must_use]
     pub const fn new(rate_per_s: f64, burst: f64, now: LocalTime) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Applies a changed rate and burst; units already spent stay spent.
+    /// Sets the rate and burst; units already spent remain spent.
     pub fn set_quota(&mut self, rate_per_s: f64, burst: f64) {
         if self.rate_per_s == rate_per_s && self.burst == burst {
             return;
@@ -38,22 +38,22 @@
         self.level = burst - spent.min(burst);
     }
 
-    /// Returns the burst.
+    /// Returns the burst, in units.
     #[must_use]
     pub const fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// Refills up to `now` with the part of the rate that this VM may count on.
+    /// Refills the bucket up to `now` with a share of the rate.
     pub fn refill(&mut self, share: f64, now: LocalTime) {
         let passed = now.since(self.filled_at).micros() as f64 / 1e6;
         self.filled_at = now;
         self.level = (self.level + passed * self.rate_per_s * share).min(self.burst);
     }
 
-    /// Takes units that may run now; refuses when the bucket lacks them.
+    /// Takes units if the bucket holds them; returns whether it did.
     ///
-    /// A request larger than the whole burst passes when the bucket is full.
+    /// A request larger than the burst is admitted when the bucket is full.
     pub fn take(&mut self, units: f64) -> bool {
         if self.level < units.min(self.burst) {
             return false;
@@ -62,29 +62,30 @@
         true
     }
 
-    /// Counts units that ran at another VM.
+    /// Takes units that a peer has admitted; the level may fall below zero.
     pub fn take_remote(&mut self, units: f64) {
         let debt_limit = self.burst + self.rate_per_s * MAX_DEBT_S;
         self.level = (self.level - units).max(-debt_limit);
     }
 
-    /// Gives back units of a request that did not run.
+    /// Returns the units of a request that did not run to the bucket.
     pub fn refund(&mut self, units: f64) {
         self.level = (self.level + units).min(self.burst);
     }
 
-    /// Lowers the level to that of a peer that has watched for longer.
+    /// Lowers the level to that of a peer that has observed the account for longer.
     pub fn lower_to(&mut self, level: f64) {
         self.level = self.level.min(level);
     }
 
-    /// Returns the level.
+    /// Returns the level, in units; negative after use at peers.
     #[must_use]
     pub const fn level(&self) -> f64 {
         self.level
     }
 
-    /// Returns the time until `units` will be there.
+    /// Returns the time until the bucket holds `units`; zero if it does already or
+    /// never refills.
     #[must_use]
     pub fn time_until(&self, units: f64) -> TimeSpan {
         let missing = units.min(self.burst) - self.level;
--- a/crates/clementinepond_dispatch/src/quota/rate_limiter.rs
+++ b/crates/clementinepond_dispatch/src/quota/rate_limiter.rs
@@ -1,45 +1,45 @@
-//! Buckets of all accounts at one VM.
+//! Rate limiter for all accounts at one VM.
 
 use super::AccountBucket;
 use crate::fleet::AccountPolicy;
 use clementinepond_types::{AccountId, LocalTime, TimeSpan};
 use fnv::FnvHashMap;
 
-/// Answer to a request's cost.
+/// Result of charging a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum QuotaVerdict {
-    /// The request is within the quota; the units are taken.
+    /// The request is within the quota, and its units are taken.
     Within,
-    /// The request is over the quota.
+    /// The request exceeds the quota.
     Over {
-        /// Time after which the units will be there.
+        /// Time after which the units will be available.
         retry_after: TimeSpan,
     },
 }
 
-/// Time constant of the demand's moving average, in seconds.
+/// Decay time of the demand's moving average, in seconds.
 const DEMAND_DECAY_TIME_S: f64 = 2.0;
-/// Share of an account's rate from which its demand counts as heavy.
+/// Share of an account's rate above which its demand counts as heavy.
 const HEAVY_DEMAND_SHARE: f64 = 0.9;
-/// The same in a large fleet, which hears later of a sudden rise.
+/// The same in a large fleet, where a sudden rise becomes known later.
 const LARGE_FLEET_HEAVY_DEMAND_SHARE: f64 = 0.6;
-/// Requests that a VM's own share always holds at least.
+/// Smallest burst of a VM's own share, in multiples of the request's cost.
 const MIN_SHARE_BURST_REQUESTS: f64 = 1.0;
-/// Part of the rate that shares use in a large fleet, where each of many VMs
-/// rounds up to whole requests and hears of the others once a second.
+/// Share of the rate used under heavy demand in a large fleet, where many VMs each
+/// round up to whole requests and exchange heartbeats once a second.
 const LARGE_FLEET_RATE_SHARE: f64 = 0.9;
-/// VMs from which a fleet is large.
+/// Number of known peers from which a fleet counts as large.
 const LARGE_FLEET_MIN_PEERS: usize = 24;
 
-/// Quota state of one account at one VM.
+/// Rate limit state of one account at one VM.
 #[derive(Debug, Clone)]
 struct AccountState {
     bucket: AccountBucket,
-    /// Part of the bucket that this VM may use while demand is heavy.
+    /// Bucket for this VM's share of the quota, which applies under heavy demand.
     share: AccountBucket,
     /// Units admitted here since the process started.
     admitted: f64,
-    /// Units asked here a second, refused ones included.
+    /// Moving average of the units requested here per second, including refused ones.
     requested_per_s: f64,
     demand_updated_at: LocalTime,
     first_request_at: LocalTime,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the demand as of now.
+    /// Returns the decayed demand as of `now`, in units per second.
     fn requested_per_s(&self, now: LocalTime) -> f64 {
         let seconds = now.since(self.demand_updated_at).micros() as f64 / 1e6;
         self.requested_per_s * (-seconds / DEMAND_DECAY_TIME_S).exp()
@@ -69,38 +69,38 @@
     }
 }
 
-/// Time after an account's first request in which a VM of a large fleet cannot
-/// know what others admit; about two rounds of news.
+/// Time after an account's first request in which a VM of a large fleet cannot know
+/// what others admit; about two heartbeat rounds.
 const STARTUP_SHARE_DURATION: TimeSpan = TimeSpan::from_millis(2_500);
-/// Even parts of the rate that a VM uses in that time.
+/// Rate that a VM uses in that time, in multiples of an even share.
 const STARTUP_SHARES: f64 = 1.5;
 
-/// Figures of one account in this VM's news.
+/// Values of one account for this VM's heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AccountSnapshot {
     /// Units admitted here since the process started.
     pub admitted: f64,
-    /// Units asked here a second.
+    /// Units requested here per second, including refused ones.
     pub requested_per_s: f64,
-    /// Level of this VM's copy of the bucket.
+    /// Level of this VM's copy of the bucket, in units.
     pub level: f64,
 }
 
-/// Buckets of all accounts at one VM.
+/// Rate limiter for all accounts at one VM.
 #[derive(Debug, Default)]
 pub struct RateLimiter {
     accounts: FnvHashMap<AccountId, AccountState>,
-    /// Part of the rate that the VMs in contact may use together.
+    /// Share of each rate that the live VMs may use together.
     live_share: f64,
     is_large_fleet: bool,
-    /// VMs of the fleet.
+    /// Number of VMs in the fleet, including this one.
     vms: usize,
-    /// Units asked a second at the other VMs.
+    /// Units requested per second at the other VMs.
     remote_demand: FnvHashMap<AccountId, f64>,
 }
 
 impl RateLimiter {
-    /// Makes an empty ledger.
+    /// Creates a rate limiter without accounts.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Sets the live_share of each rate that the VMs in contact may use.
+    /// Sets the share of each rate that the live VMs may use, from the numbers of live
+    /// and known peers.
     pub fn set_live_peers(&mut self, live: usize, known: usize, now: LocalTime) {
         self.is_large_fleet = known >= LARGE_FLEET_MIN_PEERS;
         self.vms = known.max(live) + 1;
@@ -125,8 +126,10 @@
         }
     }
 
-    /// Charges a request; `is_usage_fresh` tells whether this VM's knowledge of
-    /// its peers' use is up to date.
+    /// Charges a request to an account.
+    ///
+    /// `is_usage_fresh` states whether this VM's knowledge of its peers' usage is up to
+    /// date.
     pub fn charge(
         &mut self,
         policy: &AccountPolicy,
@@ -153,8 +156,8 @@
             HEAVY_DEMAND_SHARE
         };
         let is_heavy = own + remote > heavy_share * policy.rate_per_s;
-        // Under heavy demand with stale knowledge of peers' use, each VM is limited
-        // to its live_share of the demand.
+        // Under heavy demand and without fresh knowledge of the peers' usage, each VM
+        // is limited to its share of the demand.
         let is_startup =
             self.is_large_fleet && now.since(account.first_request_at) < STARTUP_SHARE_DURATION;
         let fraction = if is_usage_fresh {
@@ -189,7 +192,7 @@
         QuotaVerdict::Over { retry_after }
     }
 
-    /// Gives back the units of a request that has not run.
+    /// Returns the units of a request that did not run.
     pub fn refund(&mut self, id: &AccountId, units: f64) {
         if let Some(account) = self.accounts.get_mut(id) {
             account.bucket.refund(units);
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Counts units admitted at a peer since its last news.
+    /// Takes units that a peer has admitted.
     pub fn record_remote(&mut self, policy: &AccountPolicy, units: f64, now: LocalTime) {
         let live_share = self.live_share;
         let account = self
@@ -209,12 +212,12 @@
         account.bucket.take_remote(units);
     }
 
-    /// Sets the demand at the other VMs.
+    /// Sets the demand at the other VMs, in units per second.
     pub fn set_remote_demand(&mut self, demand: FnvHashMap<AccountId, f64>) {
         self.remote_demand = demand;
     }
 
-    /// Takes over a peer's level when this VM has just started.
+    /// Lowers an account's level to that of a peer; used when this VM has just started.
     pub fn adopt_level(&mut self, policy: &AccountPolicy, level: f64, now: LocalTime) {
         self.accounts
             .entry(policy.id.clone())
@@ -239,7 +242,7 @@
             .map_or(0.0, |account| account.bucket.level())
     }
 
-    /// Returns the figures of each account.
+    /// Returns the current values of each account.
     pub fn snapshots(&self, now: LocalTime) -> impl Iterator<Item = (&AccountId, AccountSnapshot)> {
         self.accounts.iter().map(move |(id, account)| {
             let snapshot = AccountSnapshot {
--- a/crates/clementinepond_dispatch/src/select/engine_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/engine_choice.rs
@@ -1,106 +1,107 @@
-//! Choice of a model engine by the predicted time to the first token.
+//! Selects a model engine by its predicted time to the first token.
 //!
-//! Answers the load of long prompts: what makes callers wait is the prompt
-//! text queued before theirs, so candidates are compared by the text they
-//! still have to read, the part of this prompt in their cache, and their batch.
-//! A request that no engine can start in time is refused at once.
+//! With long prompts, most of a request's latency is the prefill queued ahead of it.
+//! Candidates are therefore compared by the prompt tokens that they still have to
+//! process, the part of this prompt in their prefix cache, and the occupancy of their
+//! slots and KV cache. A request that no engine can start in time is refused at once.
 
 use crate::fleet::{EndpointEntry, TokenDemand};
 use crate::health::HealthGrade;
 use crate::load::{EndpointLoad, PREFILL_TOKENS_PER_MS};
 use clementinepond_types::TimeSpan;
 
-/// Time of one step of an engine, in milliseconds.
+/// Duration of one engine step, in milliseconds.
 const DECODE_STEP_MS: f64 = 6.0;
-/// Time to load an adapter through the planner, in milliseconds.
+/// Time to load an adapter into a free slot, in milliseconds.
 const ADAPTER_LOAD_MS: f64 = 35.0;
-/// Time to load an adapter where another one has to make way, in milliseconds.
+/// Time to load an adapter when another one has to be evicted first, in milliseconds.
 const ADAPTER_SWAP_MS: f64 = 400.0;
-/// Handicap of an engine in another data centre, in milliseconds.
+/// Score penalty of an engine in another data centre, in milliseconds.
 const REMOTE_PENALTY_MS: f64 = 12.0;
-/// Handicap of an engine that has left the list, in milliseconds.
+/// Score penalty of an engine that is unlisted or on trial, in milliseconds.
 const UNLISTED_PENALTY_MS: f64 = 400.0;
-/// Time a slot stays taken on average when all are, in milliseconds.
+/// Mean time until a slot becomes free when all are taken, in milliseconds.
 const SLOT_OCCUPANCY_MS: f64 = 1_500.0;
-/// Handicap of an engine whose memory is overbooked by a whole cache, in milliseconds.
+/// Predicted delay when the KV cache is overcommitted by its whole capacity, in
+/// milliseconds.
 const KV_OVERCOMMIT_PENALTY_MS: f64 = 4_000.0;
-/// Share of an engine's memory up to which runs do not displace each other.
+/// Share of the KV cache up to which running requests do not evict each other.
 const KV_CACHE_SOFT_LIMIT: f64 = 0.9;
-/// Share of the time left within which the first token has to be predicted.
+/// Share of the remaining request time within which the first token must be predicted.
 const DEADLINE_SHARE: f64 = 0.6;
-/// Share of the caller's patience within which it has to be; predictions err
-/// by a tenth at long queues.
+/// Share of the caller's first-token wait within which it must be predicted;
+/// predictions are off by a tenth when queues are long.
 const FIRST_TOKEN_WAIT_SHARE: f64 = 0.85;
 
-/// Whether an engine holds the adapter of a request.
+/// Whether an engine can serve a request's adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdapterReadiness {
-    /// Loaded, or none is needed.
+    /// The adapter is loaded, or the request needs none.
     Ready,
-    /// Has to be loaded first.
+    /// The adapter is not loaded; a slot is free.
     Missing,
-    /// Has to be loaded in the place of another one.
+    /// The adapter is not loaded, and another one must be evicted first.
     NeedsEviction,
 }
 
-/// One engine that holds the model.
+/// An engine that holds the requested model.
 #[derive(Debug, Clone)]
 pub struct EngineCandidate<'a> {
-    /// Description.
+    /// Description of the engine.
     pub endpoint: &'a EndpointEntry,
-    /// Load that all VMs put on it.
+    /// Load from the requests of all VMs.
     pub load: EndpointLoad,
-    /// Prompt tokens that it still has to read for others.
+    /// Prompt tokens queued ahead of this request.
     pub prefill_tokens: f64,
-    /// Tokens of the prompt that it probably holds.
+    /// Estimated number of the prompt's tokens in the engine's prefix cache.
     pub cached_tokens: u64,
-    /// How far it is trusted.
+    /// Health of the engine.
     pub grade: HealthGrade,
-    /// Whether it holds the adapter.
+    /// Whether the request's adapter is loaded.
     pub adapter: AdapterReadiness,
-    /// Whether it is in the VM's data centre.
+    /// Whether the engine is in the VM's own data centre.
     pub is_local: bool,
-    /// Whether it has left the list.
+    /// Whether the engine is no longer listed in the store.
     pub is_unlisted: bool,
-    /// Measured time over predicted time.
+    /// Ratio of measured to predicted time to the first token.
     pub slowdown: f64,
 }
 
-/// The request to place.
+/// Request to be placed on an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineRequest {
-    /// Tokens declared.
+    /// Declared prompt and output tokens.
     pub tokens: TokenDemand,
-    /// Slots of an engine.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into an engine's cache.
+    /// Capacity of an engine's KV cache, in tokens.
     pub kv_capacity: u64,
-    /// Time that the caller still waits for the whole answer.
+    /// Time until the caller's deadline for the complete answer.
     pub time_left: TimeSpan,
-    /// Time that it still waits for the first token.
+    /// Time until the caller's deadline for the first token.
     pub first_token_wait: TimeSpan,
 }
 
-/// What to do with a request.
+/// Result of the engine selection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EngineVerdict {
-    /// Send it to this candidate.
+    /// Send the request to a candidate.
     Send {
-        /// Index of the candidate.
+        /// Index into the candidates.
         index: usize,
         /// Predicted time to the first token.
         first_token: TimeSpan,
     },
-    /// Refuse it; no engine can start it in time.
+    /// Refuse the request, since no engine can start it in time.
     Refuse {
-        /// Time after which the queue is short enough.
+        /// Time after which a retry is expected to start in time.
         retry_after: TimeSpan,
     },
     /// No engine holds the model.
     NoCopy,
 }
 
-/// Predicts the time to the first token, in milliseconds.
+/// Returns the predicted time to the first token, in milliseconds.
 #[must_use]
 pub fn predict_first_token(candidate: &EngineCandidate<'_>, request: &EngineRequest) -> f64 {
     let uncached = request
@@ -122,7 +123,8 @@
     reading * candidate.slowdown + slot_wait + memory_wait + adapter
 }
 
-/// Chooses an engine.
+/// Selects the engine with the lowest score: its predicted time to the first token plus
+/// penalties.
 #[must_use]
 pub fn choose_engine(candidates: &[EngineCandidate<'_>], request: &EngineRequest) -> EngineVerdict {
     let Some(best_grade) = candidates.iter().map(|one| one.grade).min() else {
--- a/crates/clementinepond_dispatch/src/select/mod.rs
+++ b/crates/clementinepond_dispatch/src/select/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of the endpoint for one request.
+//! Selection of the endpoint for a request.
 
 mod engine_choice;
 mod prefix_cache_index;
--- a/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
+++ b/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
@@ -1,7 +1,7 @@
-//! Parts of prompts that endpoints probably still hold.
+//! Estimate of the prompt blocks in each endpoint's prefix cache.
 //!
-//! Built from the requests that this VM sent: the blocks of a request stay in
-//! its endpoint's cache until newer ones displace them.
+//! The index is built from requests sent to endpoints. A request's blocks are assumed
+//! to stay in the cache until newer ones evict them.
 
 use crate::fleet::PromptBlock;
 use crate::load::NameHash;
@@ -14,14 +14,16 @@
     tokens: u64,
 }
 
-/// Parts that endpoints probably hold.
+/// Index of the prompt blocks that endpoints are likely to have cached.
 #[derive(Debug, Default)]
 pub struct PrefixCacheIndex {
     endpoints: FnvHashMap<NameHash, CachedBlocks>,
 }
 
 impl PrefixCacheIndex {
-    /// Notes that an endpoint has read a prompt; `capacity` is its cache in tokens.
+    /// Records that an endpoint has processed a prompt.
+    ///
+    /// `capacity` is the size of the endpoint's cache, in tokens.
     pub fn record_prefill(
         &mut self,
         endpoint: NameHash,
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Returns the tokens of a prompt's start that an endpoint probably holds.
+    /// Returns the number of tokens in the longest prefix of a prompt that an endpoint
+    /// has likely cached.
     #[must_use]
     pub fn cached_tokens(
         &self,
@@ -62,14 +65,15 @@
             .sum()
     }
 
-    /// Forgets an endpoint that lost its cache.
+    /// Removes an endpoint whose cache was lost.
     pub fn forget(&mut self, endpoint: NameHash) {
         self.endpoints.remove(&endpoint);
     }
 }
 
 impl CachedBlocks {
-    /// Drops the oldest blocks until half of the capacity is free.
+    /// Evicts the least recently used blocks until at most half of the capacity is
+    /// taken.
     fn evict(&mut self, capacity: u64) {
         let mut oldest: Vec<_> = self
             .last_used
--- a/crates/clementinepond_dispatch/src/select/service_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/service_choice.rs
@@ -1,46 +1,46 @@
-//! Choice of an endpoint of a plain service by its queue.
+//! Selects an endpoint of a service without models by its queue.
 
 use crate::fleet::EndpointEntry;
 use crate::health::HealthGrade;
 use crate::load::EndpointLoad;
 use clementinepond_types::TimeSpan;
 
-/// Handicap of an endpoint in another data centre, in milliseconds.
+/// Score penalty of an endpoint in another data centre, in milliseconds.
 const REMOTE_PENALTY_MS: f64 = 3.0;
-/// Handicap of an endpoint that has left the list, in milliseconds.
+/// Score penalty of an endpoint that is no longer listed, in milliseconds.
 const UNLISTED_PENALTY_MS: f64 = 300.0;
-/// Cost of each request that already runs there, in milliseconds; spreads
-/// requests over idle endpoints.
+/// Score penalty for each request that an endpoint already runs, in milliseconds;
+/// spreads requests over endpoints with free slots.
 const RUNNING_REQUEST_PENALTY_MS: f64 = 2.0;
 
-/// One endpoint of a plain service.
+/// An endpoint of a service without models.
 #[derive(Debug, Clone)]
 pub struct ServiceCandidate<'a> {
-    /// Description.
+    /// Description of the endpoint.
     pub endpoint: &'a EndpointEntry,
-    /// Load that all VMs put on it.
+    /// Load from the requests of all VMs.
     pub load: EndpointLoad,
-    /// How far it is trusted.
+    /// Health of the endpoint.
     pub grade: HealthGrade,
-    /// Whether it is in the VM's data centre.
+    /// Whether the endpoint is in the VM's own data centre.
     pub is_local: bool,
-    /// Whether it has left the list.
+    /// Whether the endpoint is no longer listed in the store.
     pub is_unlisted: bool,
-    /// Measured time of one request, in milliseconds.
+    /// Measured service time of one request, in milliseconds.
     pub service_time_ms: f64,
 }
 
-/// What to do with a request.
+/// Result of the endpoint selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceVerdict {
-    /// Send it to this candidate.
+    /// Send the request to a candidate.
     Send {
-        /// Index of the candidate.
+        /// Index into the candidates.
         index: usize,
     },
-    /// Refuse it; no endpoint comes free in time.
+    /// Refuse the request, since no endpoint can finish it in time.
     Refuse {
-        /// Time after which the queue is short enough.
+        /// Time after which a retry is expected to finish in time; at least 50 ms.
         retry_after: TimeSpan,
     },
     /// The service has no endpoint.
@@ -53,7 +53,8 @@
     over * candidate.service_time_ms / f64::from(slots)
 }
 
-/// Chooses an endpoint for a request whose caller waits `time_left`.
+/// Selects the endpoint with the lowest score for a request that must end within
+/// `time_left`.
 #[must_use]
 pub fn choose_service_endpoint(
     candidates: &[ServiceCandidate<'_>],
--- a/crates/clementinepond_dispatch/src/suspect/mod.rs
+++ b/crates/clementinepond_dispatch/src/suspect/mod.rs
@@ -1,27 +1,27 @@
 //! Requests that crash the endpoints that run them.
 //!
-//! A request is known by a fingerprint of its path, account and body, since a
-//! caller sends it again under a new identity. After a few crashes it is no
-//! longer sent anywhere.
+//! A request is identified by a fingerprint of its path, account and body, since a
+//! caller retries it under a new request ID. After a few crashes it is no longer sent
+//! to any endpoint.
 
 use clementinepond_types::{LocalTime, TimeSpan};
 use fnv::FnvHashMap;
 
-/// Crashes after which a request is refused.
+/// Number of crashes up to which a request is still sent; the next crash blocks it.
 const CRASH_LIMIT: u32 = 2;
-/// Time for which a crash is held against a request.
+/// Time since the last crash for which a request stays blocked.
 const CRASH_RETENTION: TimeSpan = TimeSpan::from_secs(120);
-/// Largest number of fingerprints kept.
+/// Number of fingerprints from which expired ones are removed.
 const FINGERPRINT_LIMIT: usize = 4_096;
 
-/// Crashes by fingerprint.
+/// Crash counts by request fingerprint.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
     crashes: FnvHashMap<u64, (u32, LocalTime)>,
 }
 
 impl CrashSuspects {
-    /// Counts a crash; returns the number counted so far.
+    /// Counts a crash; returns the request's crash count.
     pub fn record_crash(&mut self, fingerprint: u64, now: LocalTime) -> u32 {
         if self.crashes.len() >= FINGERPRINT_LIMIT {
             self.crashes
@@ -33,7 +33,7 @@
         entry.0
     }
 
-    /// Tells whether a request is no longer sent anywhere.
+    /// Returns whether a request is blocked.
     #[must_use]
     pub fn is_blocked(&self, fingerprint: u64, now: LocalTime) -> bool {
         self.crashes
--- a/crates/clementinepond_dispatch/src/table/mod.rs
+++ b/crates/clementinepond_dispatch/src/table/mod.rs
@@ -1,24 +1,25 @@
-//! Lookup of routes and keys.
+//! Lookup of routes, keys and accounts.
 //!
-//! Built once for each version of the configuration, so that a request costs
-//! one hash of its host, one of its key and a short scan of prefixes.
+//! The index is built once per version of the configuration, so that a request costs
+//! one hash lookup of its host, one of its key and a short scan of path prefixes.
 
 use crate::fleet::{AccountPolicy, FleetPolicy, RoutePolicy, ServiceId, ServicePolicy};
 use clementinepond_types::{AccountId, KeyDigest};
 use fnv::FnvHashMap;
 
-/// Outcome of a key's check.
+/// Result of checking a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyCheck<'a> {
-    /// The request belongs to this account.
+    /// The key belongs to this account.
     Account(&'a AccountId),
-    /// The route is open, or no keys are configured.
+    /// The key is unknown or missing, but the route is anonymous or no accounts are
+    /// configured.
     Open,
-    /// The key is missing or not known.
+    /// The key is unknown or missing.
     Unknown,
 }
 
-/// Index of one configuration.
+/// Index of one version of the configuration.
 #[derive(Debug)]
 pub struct RouteTable {
     policy: FleetPolicy,
@@ -28,7 +29,7 @@
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Creates the index of a configuration.
     #[must_use]
     pub fn new(policy: FleetPolicy) -> Self {
         let mut routes_by_host: FnvHashMap<Box<str>, Vec<usize>> = FnvHashMap::default();
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Returns the configuration.
+    /// Returns the indexed configuration.
     #[must_use]
     pub const fn policy(&self) -> &FleetPolicy {
         &self.policy
     }
 
-    /// Returns the route with the longest matching prefix.
+    /// Returns the route of the host with the longest matching path prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&RoutePolicy> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -73,7 +74,7 @@
             .find(|route| path.starts_with(&*route.path_prefix))
     }
 
-    /// Checks a key for a route.
+    /// Checks a request's key for a route.
     #[must_use]
     pub fn check_key(&self, route: &RoutePolicy, key: Option<&KeyDigest>) -> KeyCheck<'_> {
         let found = key.and_then(|digest| self.account_by_key.get(digest));
@@ -84,21 +85,21 @@
         }
     }
 
-    /// Returns an account by name.
+    /// Returns the account with an ID.
     #[must_use]
     pub fn account(&self, id: &AccountId) -> Option<&AccountPolicy> {
         let index = *self.account_by_name.get(id)?;
         self.policy.accounts.get(index)
     }
 
-    /// Returns a service by name.
+    /// Returns the service with an ID.
     #[must_use]
     pub fn service(&self, id: &ServiceId) -> Option<&ServicePolicy> {
         self.policy.service(id)
     }
 }
 
-/// Picks the service of a route by weight; `draw` is a random number.
+/// Returns a service of the route, selected by weight with the random number `draw`.
 #[must_use]
 pub fn pick_service(route: &RoutePolicy, draw: u32) -> Option<&ServiceId> {
     let total: u32 = route.targets.iter().map(|target| target.weight).sum();
