--- a/crates/clementinepond_dispatch/src/directory/mod.rs
+++ b/crates/clementinepond_dispatch/src/directory/mod.rs
@@ -73,13 +73,13 @@
         for entry in list {
             self.update(entry, now);
         }
-        let missing: Vec<EndpointId> = self
+        let unlisted: Vec<EndpointId> = self
             .endpoints
             .keys()
             .filter(|id| !listed.contains(*id))
             .cloned()
             .collect();
-        for id in missing {
+        for id in unlisted {
             self.remove(&id, now);
         }
         self.revision = self.revision.max(revision);
@@ -117,10 +117,10 @@
 
     /// Marks an endpoint as no longer listed.
     pub fn remove(&mut self, id: &EndpointId, now: LocalTime) {
-        let returned = self
+        let is_after_outage = self
             .store_returned_at
             .is_some_and(|at| now.since(at) < OUTAGE_RECOVERY_WINDOW);
-        let grace = if returned {
+        let grace = if is_after_outage {
             OUTAGE_UNLISTED_GRACE
         } else {
             UNLISTED_GRACE
@@ -196,11 +196,11 @@
     /// Returns whether new requests may be sent to the endpoint.
     #[must_use]
     pub fn is_usable(&self, now: LocalTime) -> bool {
-        let is_there = match self.presence {
+        let is_present = match self.presence {
             Presence::Listed => true,
             Presence::Unlisted(until) => now < until,
         };
         let is_leaving = self.leaves_at.is_some() || self.entry.phase == EndpointPhase::Draining;
-        is_there && !is_leaving
+        is_present && !is_leaving
     }
 }
--- a/crates/clementinepond_dispatch/src/health/endpoint_health.rs
+++ b/crates/clementinepond_dispatch/src/health/endpoint_health.rs
@@ -36,7 +36,7 @@
     ejected_until: LocalTime,
     ejection: TimeSpan,
     is_on_trial: bool,
-    trials_running: u32,
+    running_trials: u32,
     consecutive_unreachable: u32,
 }
 
@@ -49,7 +49,7 @@
             ejected_until: LocalTime::ORIGIN,
             ejection: TimeSpan::ZERO,
             is_on_trial: false,
-            trials_running: 0,
+            running_trials: 0,
             consecutive_unreachable: 0,
         }
     }
@@ -82,14 +82,14 @@
 
     /// Ejects the endpoint; repeated ejections double in duration.
     pub fn eject(&mut self, now: LocalTime) {
-        let calm = now.since(self.ejected_until) > EJECTION_RESET_TIME;
-        let span = if calm || self.ejection == TimeSpan::ZERO {
+        let is_reset = now.since(self.ejected_until) > EJECTION_RESET_TIME;
+        let duration = if is_reset || self.ejection == TimeSpan::ZERO {
             MIN_EJECTION_DURATION
         } else {
             self.ejection.fraction(2, 1).min(MAX_EJECTION_DURATION)
         };
-        self.ejection = span;
-        self.ejected_until = now + span;
+        self.ejection = duration;
+        self.ejected_until = now + duration;
         self.is_on_trial = true;
     }
 
@@ -120,20 +120,20 @@
     /// Returns whether no trial request is running.
     #[must_use]
     pub const fn has_no_running_trial(&self) -> bool {
-        self.trials_running == 0
+        self.running_trials == 0
     }
 
     /// Records the start of a request, which counts as a trial if the endpoint is on
     /// trial.
     pub const fn start_run(&mut self) {
         if self.is_on_trial {
-            self.trials_running += 1;
+            self.running_trials += 1;
         }
     }
 
     /// Records the end of a request.
     pub const fn end_run(&mut self) {
-        self.trials_running = self.trials_running.saturating_sub(1);
+        self.running_trials = self.running_trials.saturating_sub(1);
     }
 
     fn decay(&mut self, now: LocalTime) {
--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -258,15 +258,16 @@
                     .record
                     .as_ref()
                     .and_then(|record| record.holder.clone());
-                let is_mine = holder.as_ref() == Some(&self.me);
-                let is_free = holder.is_none() || is_mine;
+                let is_own = holder.as_ref() == Some(&self.me);
+                let is_free = holder.is_none() || is_own;
                 // A holder that has reported its lease as expired since the read cannot
                 // have renewed it; if it has, the conditional update fails.
-                let has_expired = self.expired.as_ref().is_some_and(|(vm, _, last_seen)| {
-                    holder.as_ref() == Some(vm) && last_seen > since
+                let has_expired = self.expired.as_ref().is_some_and(|(vm, _, reported_at)| {
+                    holder.as_ref() == Some(vm) && reported_at > since
                 });
-                let heard = self.expired.as_ref().map(|(_, last_order, _)| *last_order);
-                self.previous_last_order = heard.filter(|_| has_expired);
+                let expired_last_order =
+                    self.expired.as_ref().map(|(_, last_order, _)| *last_order);
+                self.previous_last_order = expired_last_order.filter(|_| has_expired);
                 if !is_free && !has_expired && now.since(*since) < LEASE_DURATION {
                     self.next_call = now + POLL_INTERVAL;
                     return None;
@@ -295,12 +296,12 @@
     }
 
     fn record_read(&mut self, stored: StoredLease, now: LocalTime) -> Vec<LeaseEffect> {
-        let mine = stored
+        let is_own = stored
             .record
             .as_ref()
             .is_some_and(|record| record.incarnation == self.incarnation);
         if let Some(held) = &mut self.held {
-            if mine {
+            if is_own {
                 // An update whose reply was lost took effect. It doesn't extend the
                 // lease, since the time of sending is no longer known.
                 held.revision = stored.revision;
--- a/crates/clementinepond_dispatch/src/load/load_table.rs
+++ b/crates/clementinepond_dispatch/src/load/load_table.rs
@@ -18,9 +18,9 @@
 
 impl LoadTable {
     /// Adds a request that this VM is sending.
-    pub fn start(&mut self, key: NameHash, share: EndpointLoad) {
+    pub fn start(&mut self, key: NameHash, load: EndpointLoad) {
         let own = self.own.entry(key).or_default();
-        *own = own.plus(share);
+        *own = own.plus(load);
     }
 
     /// Adds the prompt tokens of a request that this VM is sending.
@@ -42,9 +42,9 @@
     }
 
     /// Removes a request that has ended.
-    pub fn finish(&mut self, key: NameHash, share: EndpointLoad) {
+    pub fn finish(&mut self, key: NameHash, load: EndpointLoad) {
         if let Some(own) = self.own.get_mut(&key) {
-            *own = own.minus(share);
+            *own = own.minus(load);
             if own.runs == 0 {
                 self.own.remove(&key);
             }
@@ -57,35 +57,35 @@
         &mut self,
         peer: &VmId,
         key: NameHash,
-        share: EndpointLoad,
+        load: EndpointLoad,
         prefill_tokens: u32,
         now: LocalTime,
     ) {
         self.queues.entry(key).or_default().add(prefill_tokens, now);
         let remote = self.remote.entry(key).or_default();
-        *remote = remote.plus(share);
+        *remote = remote.plus(load);
         if let Some(loads) = self.by_peer.get_mut(peer) {
-            loads.push((key, share));
+            loads.push((key, load));
         } else {
-            self.by_peer.insert(peer.clone(), vec![(key, share)]);
+            self.by_peer.insert(peer.clone(), vec![(key, load)]);
         }
     }
 
     /// Replaces a peer's load by that of its heartbeat.
     pub fn set_peer(&mut self, peer: &VmId, loads: Vec<(NameHash, EndpointLoad)>) {
         self.forget_peer(peer);
-        for (key, share) in &loads {
+        for (key, load) in &loads {
             let remote = self.remote.entry(*key).or_default();
-            *remote = remote.plus(*share);
+            *remote = remote.plus(*load);
         }
         self.by_peer.insert(peer.clone(), loads);
     }
 
     /// Removes a peer's load.
     pub fn forget_peer(&mut self, peer: &VmId) {
-        for (key, share) in self.by_peer.remove(peer).unwrap_or_default() {
+        for (key, load) in self.by_peer.remove(peer).unwrap_or_default() {
             if let Some(remote) = self.remote.get_mut(&key) {
-                *remote = remote.minus(share);
+                *remote = remote.minus(load);
             }
         }
     }
@@ -121,6 +121,6 @@
     /// Returns the load from this VM's requests on each endpoint, for the heartbeat.
     #[must_use]
     pub fn own_loads(&self) -> Vec<(NameHash, EndpointLoad)> {
-        self.own.iter().map(|(key, share)| (*key, *share)).collect()
+        self.own.iter().map(|(key, load)| (*key, *load)).collect()
     }
 }
--- a/crates/clementinepond_dispatch/src/peer/peer_table.rs
+++ b/crates/clementinepond_dispatch/src/peer/peer_table.rs
@@ -103,9 +103,9 @@
         if is_same_process && before.is_some_and(|old| old.number >= heartbeat.number) {
             return None;
         }
-        let mut uses = Vec::new();
+        let mut usages = Vec::new();
         for account in &heartbeat.accounts {
-            let earlier = before
+            let known_admitted = before
                 .filter(|_| is_same_process)
                 .and_then(|old| {
                     old.accounts
@@ -113,16 +113,16 @@
                         .find(|one| one.account == account.account)
                 })
                 .map_or(0, |one| one.admitted);
-            uses.push(RemoteUsage {
+            usages.push(RemoteUsage {
                 account: account.account.clone(),
-                units: difference(account.admitted, earlier),
+                units: difference(account.admitted, known_admitted),
                 level: account.level as f64,
                 is_first: before.is_none(),
             });
         }
         peer.heartbeat = Some(heartbeat);
         peer.last_seen = now;
-        Some(uses)
+        Some(usages)
     }
 
     /// Records the units that a peer has admitted for an account.
@@ -162,18 +162,17 @@
     /// Returns whether the knowledge of the peers' usage is up to date.
     #[must_use]
     pub fn is_usage_fresh(&self, now: LocalTime) -> bool {
-        let fresh = self
+        let in_contact = self
             .peers
             .values()
             .filter(|peer| {
                 peer.heartbeat.is_some() && now.since(peer.last_seen) < FRESH_CONTACT_AGE
             })
             .count();
-        fresh * FRESH_PEER_SHARE.1 >= self.peers.len() * FRESH_PEER_SHARE.0
+        in_contact * FRESH_PEER_SHARE.1 >= self.peers.len() * FRESH_PEER_SHARE.0
     }
 
-    /// Removes peers without contact for longer than [`PEER_EXPIRY`]; returns their
-    /// IDs.
+    /// Removes peers that have been out of contact for too long; returns their IDs.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<VmId> {
         let gone: Vec<VmId> = self
             .peers
@@ -195,10 +194,10 @@
     /// Returns the live peers.
     pub fn live(&self, now: LocalTime) -> impl Iterator<Item = (&VmId, &PeerState)> {
         let peers = self.peers.len() as u64;
-        let silence =
+        let timeout =
             LIVENESS_TIMEOUT.fraction(TIMEOUT_DOUBLING_PEERS + peers, TIMEOUT_DOUBLING_PEERS);
         self.peers.iter().filter(move |(_, peer)| {
-            peer.heartbeat.is_some() && now.since(peer.last_seen) < silence
+            peer.heartbeat.is_some() && now.since(peer.last_seen) < timeout
         })
     }
 
@@ -214,11 +213,11 @@
         data_centre: &DataCentreId,
         now: LocalTime,
     ) -> usize {
-        let place = |vm: &VmId, link_mbps: u32| {
+        let rank_key = |vm: &VmId, link_mbps: u32| {
             let link = link_mbps.min(MAX_RANKED_LINK_MBPS);
             (link, rendezvous_weight(WATCHER_RANK_KEY, vm.as_str()))
         };
-        let own = place(me, link_mbps);
+        let own = rank_key(me, link_mbps);
         self.live(now)
             .filter(|(_, peer)| {
                 let heartbeat = peer.heartbeat.as_ref();
@@ -228,7 +227,7 @@
             })
             .filter(|(vm, peer)| {
                 let heartbeat = peer.heartbeat.as_ref();
-                heartbeat.is_some_and(|heartbeat| place(vm, heartbeat.link_mbps) > own)
+                heartbeat.is_some_and(|heartbeat| rank_key(vm, heartbeat.link_mbps) > own)
             })
             .count()
     }
--- a/crates/clementinepond_dispatch/src/place/choose.rs
+++ b/crates/clementinepond_dispatch/src/place/choose.rs
@@ -34,7 +34,7 @@
 pub fn choose_move(view: &PlacementView) -> Option<PlacementMove> {
     let copies = count_copies(view);
     let serving = count_serving(view);
-    let mut wanted: Vec<(bool, f64, usize)> = view
+    let mut candidates: Vec<(bool, f64, usize)> = view
         .models
         .iter()
         .enumerate()
@@ -56,8 +56,8 @@
             }
         })
         .collect();
-    wanted.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-    wanted
+    candidates.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
+    candidates
         .into_iter()
         .find_map(|(is_lost, copy_utilization, model)| {
             let limit = if is_lost {
@@ -106,18 +106,20 @@
         if !is_warm && !view.may_load_from_store {
             continue;
         }
-        let Some((unload, loss)) = make_room(view, engine, model, limit, serving) else {
+        let Some((unload, worst_utilization)) = make_room(view, engine, model, limit, serving)
+        else {
             continue;
         };
-        let span = load_time(engine, model, view.models[model].load_times);
-        let seconds = span.micros() as f64 / 1e6;
-        let busy: f64 = engine
+        let duration = load_time(engine, model, view.models[model].load_times);
+        let seconds = duration.micros() as f64 / 1e6;
+        let staying_utilization: f64 = engine
             .models
             .iter()
             .filter(|(held, _)| !unload.contains(held))
             .map(|(held, _)| view.models[*held].utilization / serving[*held].max(1) as f64)
             .sum();
-        let cost = loss + seconds * 0.2 + busy + 0.1 * unload.len() as f64;
+        let cost =
+            worst_utilization + seconds * 0.2 + staying_utilization + 0.1 * unload.len() as f64;
         if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             let chosen = PlacementMove {
                 engine: index,
@@ -144,7 +146,7 @@
     let needed = view.models[model].weights_mb;
     let mut free = engine.free_mb;
     let mut unload = Vec::new();
-    let mut loss = 0.0_f64;
+    let mut worst_utilization = 0.0_f64;
     let mut victims: Vec<(f64, usize)> = engine
         .models
         .iter()
@@ -161,10 +163,10 @@
             break;
         }
         free += view.models[victim].weights_mb;
-        loss = loss.max(copy_utilization);
+        worst_utilization = worst_utilization.max(copy_utilization);
         unload.push(victim);
     }
-    (free >= needed).then_some((unload, loss))
+    (free >= needed).then_some((unload, worst_utilization))
 }
 
 /// Returns an engine's load time for a model, given the times from the weight store,
--- a/crates/clementinepond_dispatch/src/place/order_tracker.rs
+++ b/crates/clementinepond_dispatch/src/place/order_tracker.rs
@@ -71,7 +71,7 @@
     pub arrived_at: FnvHashMap<ModelId, LocalTime>,
     /// Models in the endpoint's previous entry.
     listed: BTreeSet<ModelId>,
-    /// Time at which the last order took effect.
+    /// Time of the last reply that an order was accepted or already applied.
     pub accepted_at: LocalTime,
 }
 
--- a/crates/clementinepond_dispatch/src/place/planner/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/mod.rs
@@ -325,9 +325,9 @@
                 self.listed.insert((entry.id.clone(), hosted.id.clone()));
             }
             let tracker = self.trackers.entry(entry.id.clone()).or_default();
-            let is_new_life = tracker.started_ms != entry.started_ms;
+            let is_new_incarnation = tracker.started_ms != entry.started_ms;
             tracker.record_entry(entry, now);
-            if is_new_life {
+            if is_new_incarnation {
                 tracker.order_count = None;
                 self.moves.remove(&entry.id);
                 self.status_requested_at.remove(&entry.id);
@@ -355,8 +355,8 @@
             {
                 continue;
             }
-            let asked = self.status_requested_at.get(&entry.id);
-            if asked.is_some_and(|at| now.since(*at) < STATUS_READ_INTERVAL) {
+            let requested_at = self.status_requested_at.get(&entry.id);
+            if requested_at.is_some_and(|at| now.since(*at) < STATUS_READ_INTERVAL) {
                 continue;
             }
             self.status_requested_at.insert(entry.id.clone(), now);
--- a/crates/clementinepond_dispatch/src/quota/rate_limiter.rs
+++ b/crates/clementinepond_dispatch/src/quota/rate_limiter.rs
@@ -35,7 +35,8 @@
 #[derive(Debug, Clone)]
 struct AccountState {
     bucket: AccountBucket,
-    /// Bucket for this VM's share of the quota, which applies under heavy demand.
+    /// Bucket for this VM's share of the quota: all of it unless usage at peers is not
+    /// known and demand is heavy or the account is new here.
     share: AccountBucket,
     /// Units admitted here since the process started.
     admitted: f64,
--- a/crates/clementinepond_dispatch/src/select/engine_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/engine_choice.rs
@@ -108,26 +108,26 @@
         .tokens
         .prompt
         .saturating_sub(candidate.cached_tokens) as f64;
-    let reading = (candidate.prefill_tokens + uncached) / PREFILL_TOKENS_PER_MS + DECODE_STEP_MS;
-    let over = f64::from((candidate.load.runs + 1).saturating_sub(request.slots));
-    let slot_wait = over * SLOT_OCCUPANCY_MS / f64::from(request.slots.max(1));
+    let prefill = (candidate.prefill_tokens + uncached) / PREFILL_TOKENS_PER_MS + DECODE_STEP_MS;
+    let over_slots = f64::from((candidate.load.runs + 1).saturating_sub(request.slots));
+    let slot_wait = over_slots * SLOT_OCCUPANCY_MS / f64::from(request.slots.max(1));
     let capacity = request.kv_capacity.max(1) as f64;
-    let booked =
+    let kv_usage =
         (f64::from(candidate.load.context_tokens) + request.tokens.total() as f64) / capacity;
-    let memory_wait = (booked - KV_CACHE_SOFT_LIMIT).max(0.0) * KV_OVERCOMMIT_PENALTY_MS;
+    let kv_wait = (kv_usage - KV_CACHE_SOFT_LIMIT).max(0.0) * KV_OVERCOMMIT_PENALTY_MS;
     let adapter = match candidate.adapter {
         AdapterReadiness::Ready => 0.0,
         AdapterReadiness::Missing => ADAPTER_LOAD_MS,
         AdapterReadiness::NeedsEviction => ADAPTER_SWAP_MS,
     };
-    reading * candidate.slowdown + slot_wait + memory_wait + adapter
+    prefill * candidate.slowdown + slot_wait + kv_wait + adapter
 }
 
 /// Selects the engine with the lowest score: its predicted time to the first token plus
 /// penalties.
 #[must_use]
 pub fn choose_engine(candidates: &[EngineCandidate<'_>], request: &EngineRequest) -> EngineVerdict {
-    let Some(best_grade) = candidates.iter().map(|one| one.grade).min() else {
+    let Some(best_grade) = candidates.iter().map(|candidate| candidate.grade).min() else {
         return EngineVerdict::NoCopy;
     };
     let mut best: Option<(f64, f64, usize)> = None;
@@ -150,11 +150,11 @@
     let Some((_, first_token, index)) = best else {
         return EngineVerdict::NoCopy;
     };
-    let time = request.time_left.millis() as f64 * DEADLINE_SHARE;
-    let first_token_wait =
-        time.min(request.first_token_wait.millis() as f64 * FIRST_TOKEN_WAIT_SHARE);
-    if first_token > first_token_wait {
-        let excess = (first_token - first_token_wait).max(1.0);
+    let deadline_limit = request.time_left.millis() as f64 * DEADLINE_SHARE;
+    let limit =
+        deadline_limit.min(request.first_token_wait.millis() as f64 * FIRST_TOKEN_WAIT_SHARE);
+    if first_token > limit {
+        let excess = (first_token - limit).max(1.0);
         return EngineVerdict::Refuse {
             retry_after: TimeSpan::from_millis(excess as u64),
         };
--- a/crates/clementinepond_dispatch/src/select/service_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/service_choice.rs
@@ -49,8 +49,8 @@
 
 fn wait_ms(candidate: &ServiceCandidate<'_>) -> f64 {
     let slots = candidate.endpoint.slots.max(1);
-    let over = f64::from((candidate.load.runs + 1).saturating_sub(slots));
-    over * candidate.service_time_ms / f64::from(slots)
+    let over_slots = f64::from((candidate.load.runs + 1).saturating_sub(slots));
+    over_slots * candidate.service_time_ms / f64::from(slots)
 }
 
 /// Selects the endpoint with the lowest score for a request that must end within
@@ -60,7 +60,7 @@
     candidates: &[ServiceCandidate<'_>],
     time_left: TimeSpan,
 ) -> ServiceVerdict {
-    let Some(best_grade) = candidates.iter().map(|one| one.grade).min() else {
+    let Some(best_grade) = candidates.iter().map(|candidate| candidate.grade).min() else {
         return ServiceVerdict::NoEndpoint;
     };
     let mut best: Option<(f64, usize)> = None;
