--- a/crates/clementinepond_dispatch/src/directory/mod.rs
+++ b/crates/clementinepond_dispatch/src/directory/mod.rs
@@ -1,9 +1,9 @@
-//! The endpoints that a VM knows of.
+//! Directory of the endpoints that a VM knows.
 //!
-//! An endpoint once seen draining stays so for the rest of that life,
-//! whatever older lists say. One that is no longer listed stays usable for a
-//! short while, since entries lapse while the store is away and come back
-//! after its return.
+//! An endpoint once seen draining remains so for the rest of its incarnation, whatever
+//! older lists state. An endpoint that is no longer listed stays usable for a short
+//! time, since entries expire while the store is unavailable and reappear after its
+//! return.
 
 mod revision_guard;
 
@@ -14,78 +14,78 @@
 use fnv::{FnvHashMap, FnvHashSet};
 use std::collections::BTreeMap;
 
-/// Time for which an endpoint that is no longer listed stays usable; below the
-/// two seconds after which the platform wants a leaving endpoint left alone.
-const MISSING_GRACE: TimeSpan = TimeSpan::from_millis(1_200);
-/// The same after the store was away: entries are back two seconds after its
+/// Time for which an endpoint that is no longer listed stays usable; less than the two
+/// seconds after which the platform requires that a leaving endpoint gets no requests.
+const UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(1_200);
+/// The same after an outage of the store. Entries reappear within two seconds of its
 /// return, or their endpoints are gone.
-const RETURN_GRACE: TimeSpan = TimeSpan::from_millis(2_200);
-/// Time after an outage of the store during which lapses are expected.
-const RETURN_WINDOW: TimeSpan = TimeSpan::from_secs(3);
+const OUTAGE_UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(2_200);
+/// Time after an outage of the store during which entries are expected to be missing.
+const OUTAGE_RECOVERY_WINDOW: TimeSpan = TimeSpan::from_secs(3);
 
-/// Whether an endpoint is listed.
+/// Whether an endpoint is listed in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It is in the list.
+    /// The endpoint is listed.
     Listed,
-    /// It has left the list and stays usable until this moment.
-    Missing(LocalTime),
+    /// The endpoint is no longer listed and stays usable until this time.
+    Unlisted(LocalTime),
 }
 
-/// One endpoint that the VM knows of.
+/// Endpoint that the VM knows.
 #[derive(Debug, Clone)]
 pub struct KnownEndpoint {
-    /// Its description.
+    /// Last description of the endpoint.
     pub entry: EndpointEntry,
-    /// Whether it is listed.
+    /// Whether the endpoint is listed.
     pub presence: Presence,
-    /// Moment at which it will be taken away, when notice was given.
+    /// Time at which the endpoint will be removed; `None` without advance notice.
     pub leaves_at: Option<LocalTime>,
 }
 
-/// What a change of the list meant.
+/// Effect of an update on the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// A new endpoint, or a new life of a known one.
+    /// The endpoint is new or has a new incarnation.
     Joined,
     /// The description changed.
     Updated,
-    /// It stopped taking requests.
+    /// The endpoint stopped taking requests.
     Draining,
-    /// Nothing that matters changed.
+    /// Nothing changed, or the description is of an earlier incarnation.
     Same,
 }
 
-/// The endpoints that a VM knows of.
+/// Directory of the endpoints that a VM knows.
 #[derive(Debug, Default)]
 pub struct EndpointDirectory {
     endpoints: BTreeMap<EndpointId, KnownEndpoint>,
     draining: FnvHashMap<EndpointId, u64>,
     store_returned_at: Option<LocalTime>,
-    /// Revision of the store up to which the directory is complete.
+    /// Store revision up to which the directory is complete.
     pub revision: u64,
 }
 
 impl EndpointDirectory {
-    /// Takes over a whole list.
+    /// Replaces the directory by a complete list; endpoints not in it become unlisted.
     pub fn replace(&mut self, list: Vec<EndpointEntry>, revision: u64, now: LocalTime) {
         let listed: FnvHashSet<EndpointId> = list.iter().map(|entry| entry.id.clone()).collect();
         for entry in list {
             self.update(entry, now);
         }
-        let missing: Vec<EndpointId> = self
+        let unlisted: Vec<EndpointId> = self
             .endpoints
             .keys()
             .filter(|id| !listed.contains(*id))
             .cloned()
             .collect();
-        for id in missing {
+        for id in unlisted {
             self.remove(&id, now);
         }
         self.revision = self.revision.max(revision);
     }
 
-    /// Takes over one description.
+    /// Updates an endpoint from its description.
     pub fn update(&mut self, mut entry: EndpointEntry, now: LocalTime) -> EndpointChange {
         let id = entry.id.clone();
         if self.draining.get(&id) == Some(&entry.started_ms) {
@@ -115,45 +115,48 @@
         change
     }
 
-    /// Notes that an endpoint is no longer listed.
+    /// Marks an endpoint as no longer listed.
     pub fn remove(&mut self, id: &EndpointId, now: LocalTime) {
-        let returned = self
+        let is_after_outage = self
             .store_returned_at
-            .is_some_and(|at| now.since(at) < RETURN_WINDOW);
-        let grace = if returned {
-            RETURN_GRACE
+            .is_some_and(|at| now.since(at) < OUTAGE_RECOVERY_WINDOW);
+        let grace = if is_after_outage {
+            OUTAGE_UNLISTED_GRACE
         } else {
-            MISSING_GRACE
+            UNLISTED_GRACE
         };
         if let Some(known) = self.endpoints.get_mut(id)
             && known.presence == Presence::Listed
         {
-            known.presence = Presence::Missing(now + grace);
+            known.presence = Presence::Unlisted(now + grace);
         }
     }
 
-    /// Notes that the store answers again after an outage.
-    pub fn note_store_return(&mut self, now: LocalTime) {
+    /// Records that the store is available again after an outage.
+    pub fn record_store_return(&mut self, now: LocalTime) {
         self.store_returned_at = Some(now);
     }
 
-    /// Drops endpoints that stayed missing; returns their names.
+    /// Removes unlisted endpoints whose grace period is over.
+    ///
+    /// Returns their IDs, and those of listed endpoints whose announced removal time
+    /// has passed, which stay in the directory.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<EndpointId> {
         let gone: Vec<EndpointId> = self
             .endpoints
             .iter()
             .filter(|(_, known)| match known.presence {
-                Presence::Missing(until) => now >= until,
+                Presence::Unlisted(until) => now >= until,
                 Presence::Listed => known.leaves_at.is_some_and(|at| now >= at),
             })
             .map(|(id, _)| id.clone())
             .collect();
         for id in &gone {
-            let is_missing = self
+            let is_unlisted = self
                 .endpoints
                 .get(id)
                 .is_some_and(|known| known.presence != Presence::Listed);
-            if is_missing {
+            if is_unlisted {
                 self.endpoints.remove(id);
             }
         }
@@ -166,7 +169,7 @@
         self.endpoints.get(id)
     }
 
-    /// Returns all endpoints in the order of their names.
+    /// Returns all endpoints, ordered by ID.
     pub fn all(&self) -> impl Iterator<Item = &KnownEndpoint> {
         self.endpoints.values()
     }
@@ -182,7 +185,7 @@
             .filter(move |known| known.entry.service == *service && known.is_usable(now))
     }
 
-    /// Tells whether nothing is known.
+    /// Returns whether the directory has no endpoints.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
@@ -190,14 +193,14 @@
 }
 
 impl KnownEndpoint {
-    /// Tells whether new requests may be sent there.
+    /// Returns whether new requests may be sent to the endpoint.
     #[must_use]
     pub fn is_usable(&self, now: LocalTime) -> bool {
-        let is_there = match self.presence {
+        let is_present = match self.presence {
             Presence::Listed => true,
-            Presence::Missing(until) => now < until,
+            Presence::Unlisted(until) => now < until,
         };
         let is_leaving = self.leaves_at.is_some() || self.entry.phase == EndpointPhase::Draining;
-        is_there && !is_leaving
+        is_present && !is_leaving
     }
 }
--- a/crates/clementinepond_dispatch/src/health/health_table.rs
+++ b/crates/clementinepond_dispatch/src/health/health_table.rs
@@ -1,24 +1,26 @@
-//! Health of all endpoints, judged against their peers.
+//! Health of all endpoints, compared with their peers.
 
 use super::{EndpointHealth, EndpointOutcome};
 use clementinepond_types::{EndpointId, LocalTime};
 use fnv::FnvHashMap;
 
-/// Weight of failures below which an endpoint is never set aside.
-const FAILURE_FLOOR: f64 = 1.6;
-/// Share of failures above which an endpoint is suspect.
-const FAILURE_SHARE: f64 = 0.3;
-/// How many times the peers' share of failures an endpoint must show.
-const PEER_FACTOR: f64 = 2.0;
+/// Decayed number of failures below which an endpoint is not ejected, unless it is
+/// unreachable.
+const MIN_FAILURE_WEIGHT: f64 = 1.6;
+/// Share of failures below which an endpoint is not ejected, unless it is unreachable.
+const MIN_FAILURE_SHARE: f64 = 0.3;
+/// Minimum ratio of an endpoint's share of failures to that of its peers for an
+/// ejection.
+const PEER_FAILURE_FACTOR: f64 = 2.0;
 
-/// How far an endpoint is trusted.
+/// Health of an endpoint, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthGrade {
-    /// It serves normally.
+    /// The endpoint serves normally.
     Good,
-    /// It was set aside and takes one request at a time.
+    /// The endpoint was ejected and takes one trial request at a time.
     Trial,
-    /// It is set aside.
+    /// The endpoint is ejected or already runs a trial request.
     Ejected,
 }
 
@@ -29,10 +31,10 @@
 }
 
 impl HealthTable {
-    /// Counts an outcome; returns true when the endpoint is now set aside.
+    /// Records an outcome; returns whether the endpoint has just been ejected.
     ///
-    /// `peers` are the other endpoints of the same service.
-    pub fn note(
+    /// `peers` are the endpoints of the same service.
+    pub fn record(
         &mut self,
         id: &EndpointId,
         outcome: EndpointOutcome,
@@ -41,17 +43,17 @@
     ) -> bool {
         let health = self.endpoints.entry(id.clone()).or_default();
         let was_ejected = health.is_ejected(now);
-        health.note(outcome, now);
+        health.record(outcome, now);
         if health.is_ejected(now) {
             return !was_ejected;
         }
         let is_unreachable = outcome == EndpointOutcome::Unreachable;
         let (failures, total) = health.rates(now);
         let share = failures / total.max(1.0);
-        if !is_unreachable && (failures < FAILURE_FLOOR || share < FAILURE_SHARE) {
+        if !is_unreachable && (failures < MIN_FAILURE_WEIGHT || share < MIN_FAILURE_SHARE) {
             return false;
         }
-        if !is_unreachable && share < PEER_FACTOR * self.peer_share(id, peers, now) {
+        if !is_unreachable && share < PEER_FAILURE_FACTOR * self.peer_share(id, peers, now) {
             return false;
         }
         if let Some(health) = self.endpoints.get_mut(id) {
@@ -60,7 +62,7 @@
         true
     }
 
-    /// Ejects an endpoint that a peer has ejected.
+    /// Ejects an endpoint that a peer VM has ejected.
     pub fn eject(&mut self, id: &EndpointId, now: LocalTime) {
         let health = self.endpoints.entry(id.clone()).or_default();
         if !health.is_ejected(now) {
@@ -68,32 +70,34 @@
         }
     }
 
-    /// Returns how far an endpoint is trusted.
+    /// Returns the health of an endpoint; `Good` for an unknown one.
     #[must_use]
     pub fn grade(&self, id: &EndpointId, now: LocalTime) -> HealthGrade {
         match self.endpoints.get(id) {
             Some(health) if health.is_ejected(now) => HealthGrade::Ejected,
-            Some(health) if health.is_on_trial() && !health.may_try() => HealthGrade::Ejected,
+            Some(health) if health.is_on_trial() && !health.has_no_running_trial() => {
+                HealthGrade::Ejected
+            }
             Some(health) if health.is_on_trial() => HealthGrade::Trial,
             _ => HealthGrade::Good,
         }
     }
 
-    /// Notes the start of a request.
+    /// Records the start of a request.
     pub fn start_run(&mut self, id: &EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
             health.start_run();
         }
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub fn end_run(&mut self, id: &EndpointId) {
         if let Some(health) = self.endpoints.get_mut(id) {
             health.end_run();
         }
     }
 
-    /// Forgets an endpoint that is gone or has started anew.
+    /// Removes an endpoint that has left or restarted.
     pub fn forget(&mut self, id: &EndpointId) {
         self.endpoints.remove(id);
     }
--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -1,105 +1,106 @@
-//! Lease of the placement duty, kept in one object of the store.
+//! Placement lease, kept in one object of the store.
 //!
-//! One VM at a time gives orders to endpoints. The holder renews the object
-//! and stops before its span ends, counted on a clock that runs through
-//! suspension. A successor waits until the object has not changed for a whole
-//! span, takes it over by a conditional update, and gives its first order only
-//! after the gap in which endpoints must not see two holders.
+//! One VM at a time sends orders to endpoints. The lease holder renews the object and
+//! stops sending orders before the lease ends, measured on a clock that keeps running
+//! during suspension. A successor waits for a full lease duration after it has read the
+//! object, takes the lease by a conditional update, which fails if the object has
+//! changed, and sends its first order only after the gap in which endpoints must not
+//! see two holders.
 
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Time for which one renewal gives authority.
-pub const SPAN: TimeSpan = TimeSpan::from_millis(1_400);
-/// Part of the span at whose end the holder already stops, for the orders on
-/// their way.
+/// Duration of the lease, counted from the sending of a renewal.
+pub const LEASE_DURATION: TimeSpan = TimeSpan::from_millis(1_400);
+/// Time before the end of the lease at which the holder stops sending orders, so that
+/// orders in flight still arrive in time.
 const STOP_MARGIN: TimeSpan = TimeSpan::from_millis(300);
-/// Time between renewals.
-const RENEWAL: TimeSpan = TimeSpan::from_millis(450);
-/// Time between two looks at a lease that another VM may still hold.
-const LOOK: TimeSpan = TimeSpan::from_millis(100);
-/// Pause after a failed call.
-const RETRY_PAUSE: TimeSpan = TimeSpan::from_millis(250);
-/// Extra time over the endpoints' own gap between two holders.
-const GAP_MARGIN: TimeSpan = TimeSpan::from_millis(600);
+/// Interval between renewals.
+const RENEWAL_INTERVAL: TimeSpan = TimeSpan::from_millis(450);
+/// Interval between checks whether another VM's lease has expired.
+const POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
+/// Delay after a failed call.
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(250);
+/// Margin added to the endpoints' minimum gap between the orders of two holders.
+const ORDER_GAP_MARGIN: TimeSpan = TimeSpan::from_millis(600);
 
-/// What the object holds.
+/// Content of the lease object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Holder, unless the duty was released.
+    /// Lease holder; `None` once the lease was released.
     pub holder: Option<VmId>,
-    /// Holder before, while its orders may still matter.
+    /// Previous holder, while its orders may still take effect.
     pub previous: Option<VmId>,
-    /// Random number of the holder's process; recognises an own update whose
-    /// answer was lost.
+    /// Random number of the holder's process; identifies its own update when the reply
+    /// was lost.
     pub incarnation: u64,
-    /// Count of updates by that process.
+    /// Number of updates by that process.
     pub update: u64,
 }
 
-/// The object as it was read.
+/// Lease object as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredLease {
     /// Revision of the object; 0 when there is none.
     pub revision: u64,
-    /// Content, when it can be read.
+    /// Content; `None` when there is none or it cannot be parsed.
     pub record: Option<LeaseRecord>,
 }
 
-/// What can happen.
+/// Input of the lease state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// Time passed; `holder_heard` tells whether a peer reports that it holds the duty.
+    /// Time has passed.
     Tick {
-        /// Whether a holder was heard.
-        holder_heard: bool,
-        /// Head start that this VM leaves to the others once the holder falls silent.
+        /// Whether a live peer reports that it holds the lease.
+        holder_live: bool,
+        /// Delay before this VM tries to take the lease after the holder was last live.
         head_start: TimeSpan,
     },
     /// The object was read.
     Read(StoredLease),
     /// The update took effect.
     Written {
-        /// New revision.
+        /// New revision of the object.
         revision: u64,
     },
-    /// A VM says that its authority is over and when it gave its last order.
-    Lapsed {
-        /// The VM.
+    /// A VM reports that its lease has expired and when it sent its last order.
+    Expired {
+        /// VM whose lease has expired.
         vm: VmId,
-        /// Moment of its last order.
+        /// Time of that VM's last order.
         last_order: LocalTime,
     },
-    /// Another update came first.
+    /// The update failed since the object has another revision.
     Conflict(StoredLease),
-    /// No answer came; the update may have taken effect.
+    /// No reply came; the update may have taken effect.
     Unknown,
     /// The process is about to stop.
     Release,
 }
 
-/// What to do.
+/// Action that the I/O layer performs, or a change to act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEffect {
     /// Read the object.
     Read,
-    /// Write the object if it has the revision; 0 creates it.
+    /// Write the object if it has the expected revision.
     Write {
-        /// Revision expected.
+        /// Expected revision; 0 creates the object.
         expected: u64,
-        /// New content.
+        /// New content of the object.
         record: LeaseRecord,
     },
-    /// This VM now holds the duty and may order from a moment on.
+    /// This VM now holds the lease and may send orders from `order_from` on.
     Acquired {
-        /// Fencing number.
+        /// Fencing number of the lease.
         fence: u64,
-        /// Moment of the first order.
+        /// Time from which orders may be sent.
         order_from: LocalTime,
-        /// Whether nobody else held the duty since this VM did.
+        /// Whether no other VM held the lease since this one did.
         is_resumed: bool,
     },
-    /// This VM no longer holds the duty.
+    /// This VM no longer holds the lease.
     Lost,
 }
 
@@ -112,27 +113,30 @@
     previous: Option<VmId>,
 }
 
-/// State of one VM towards the lease.
+/// State machine of one VM for the placement lease.
 #[derive(Debug)]
-pub struct DutyLease {
+pub struct PlacementLease {
     me: VmId,
     incarnation: u64,
     update: u64,
     order_gap: TimeSpan,
     held: Option<HeldLease>,
-    seen: Option<(StoredLease, LocalTime)>,
-    /// VM that said its authority is over, its last order, and when that was heard.
-    lapsed: Option<(VmId, LocalTime, LocalTime)>,
-    /// Last order of the holder from whom this VM is about to take over.
-    last_order_before: Option<LocalTime>,
-    calling_since: Option<LocalTime>,
+    last_read: Option<(StoredLease, LocalTime)>,
+    /// VM that reported its lease as expired, the time of its last order, and the time
+    /// of the report.
+    expired: Option<(VmId, LocalTime, LocalTime)>,
+    /// Time of the last order of the holder from which this VM takes over.
+    previous_last_order: Option<LocalTime>,
+    call_started_at: Option<LocalTime>,
     next_call: LocalTime,
     is_released: bool,
 }
 
-impl DutyLease {
-    /// Makes the state; `order_gap` is the time within which an endpoint must
-    /// not see orders of two holders, `stagger` the head start left to others.
+impl PlacementLease {
+    /// Creates the state machine.
+    ///
+    /// `order_gap` is the time within which an endpoint must not see orders of two
+    /// holders, and `stagger` the delay before the first attempt.
     #[must_use]
     pub fn new(
         me: VmId,
@@ -147,16 +151,16 @@
             update: 0,
             order_gap,
             held: None,
-            seen: None,
-            lapsed: None,
-            last_order_before: None,
-            calling_since: None,
+            last_read: None,
+            expired: None,
+            previous_last_order: None,
+            call_started_at: None,
             next_call: now + stagger,
             is_released: false,
         }
     }
 
-    /// Returns the fencing number if this VM may order now.
+    /// Returns the fencing number if this VM may send orders now.
     #[must_use]
     pub fn fence(&self, now: LocalTime) -> Option<u64> {
         let held = self.held.as_ref()?;
@@ -164,8 +168,8 @@
         may_order.then_some(held.fence)
     }
 
-    /// Returns the fencing number if this VM holds the duty, even while it has
-    /// to wait with orders.
+    /// Returns the fencing number if this VM holds the lease, even if it may not send
+    /// orders yet.
     #[must_use]
     pub fn held_fence(&self, now: LocalTime) -> Option<u64> {
         self.held
@@ -174,32 +178,32 @@
             .map(|held| held.fence)
     }
 
-    /// Handles one event.
+    /// Handles an event and returns the resulting effects.
     pub fn reduce(&mut self, event: LeaseEvent, now: LocalTime) -> Vec<LeaseEffect> {
         match event {
             LeaseEvent::Tick {
-                holder_heard,
+                holder_live,
                 head_start,
-            } => self.tick(holder_heard, head_start, now),
+            } => self.tick(holder_live, head_start, now),
             LeaseEvent::Read(stored) => {
-                self.calling_since = None;
-                self.note_read(stored, now)
+                self.call_started_at = None;
+                self.record_read(stored, now)
             }
-            LeaseEvent::Written { revision } => self.note_written(revision, now),
-            LeaseEvent::Lapsed { vm, last_order } => {
-                self.lapsed = Some((vm, last_order, now));
+            LeaseEvent::Written { revision } => self.record_write(revision, now),
+            LeaseEvent::Expired { vm, last_order } => {
+                self.expired = Some((vm, last_order, now));
                 Vec::new()
             }
             LeaseEvent::Conflict(stored) => {
-                self.calling_since = None;
-                self.next_call = now + RETRY_PAUSE;
-                self.note_read(stored, now)
+                self.call_started_at = None;
+                self.next_call = now + RETRY_DELAY;
+                self.record_read(stored, now)
             }
             LeaseEvent::Unknown => {
-                self.calling_since = None;
-                self.next_call = now + RETRY_PAUSE;
-                // Reading shows whether the update took effect.
-                self.seen = None;
+                self.call_started_at = None;
+                self.next_call = now + RETRY_DELAY;
+                // A read shows whether the update took effect.
+                self.last_read = None;
                 Vec::new()
             }
             LeaseEvent::Release => self.release(),
@@ -208,7 +212,7 @@
 
     fn tick(
         &mut self,
-        holder_heard: bool,
+        holder_live: bool,
         head_start: TimeSpan,
         now: LocalTime,
     ) -> Vec<LeaseEffect> {
@@ -219,52 +223,53 @@
             .is_some_and(|held| now >= held.valid_until)
         {
             self.held = None;
-            self.seen = None;
+            self.last_read = None;
             effects.push(LeaseEffect::Lost);
         }
-        if self.is_released || self.calling_since.is_some() || now < self.next_call {
+        if self.is_released || self.call_started_at.is_some() || now < self.next_call {
             return effects;
         }
         if let Some(held) = &self.held {
             let expected = held.revision;
             let previous = held.previous.clone().filter(|_| now < held.order_from);
-            let write = if self.seen.is_none() {
+            let write = if self.last_read.is_none() {
                 LeaseEffect::Read
             } else {
                 self.write(expected, previous)
             };
-            self.calling_since = Some(now);
-            self.next_call = now + RENEWAL;
+            self.call_started_at = Some(now);
+            self.next_call = now + RENEWAL_INTERVAL;
             effects.push(write);
-        } else if !holder_heard {
-            effects.extend(self.pursue(now));
+        } else if !holder_live {
+            effects.extend(self.try_acquire(now));
         } else {
-            self.seen = None;
+            self.last_read = None;
             self.next_call = now + head_start;
         }
         effects
     }
 
-    /// Works towards the lease while no holder is heard.
-    fn pursue(&mut self, now: LocalTime) -> Option<LeaseEffect> {
-        let effect = match &self.seen {
+    /// Returns the next step towards the lease while no holder is live.
+    fn try_acquire(&mut self, now: LocalTime) -> Option<LeaseEffect> {
+        let effect = match &self.last_read {
             None => LeaseEffect::Read,
             Some((stored, since)) => {
                 let holder = stored
                     .record
                     .as_ref()
                     .and_then(|record| record.holder.clone());
-                let is_mine = holder.as_ref() == Some(&self.me);
-                let is_free = holder.is_none() || is_mine;
-                // A holder that has said since the reading that its authority
-                // is over cannot have renewed it, or the update will fail.
-                let has_lapsed = self.lapsed.as_ref().is_some_and(|(vm, _, heard_at)| {
-                    holder.as_ref() == Some(vm) && heard_at > since
+                let is_own = holder.as_ref() == Some(&self.me);
+                let is_free = holder.is_none() || is_own;
+                // A holder that has reported its lease as expired since the read cannot
+                // have renewed it; if it has, the conditional update fails.
+                let has_expired = self.expired.as_ref().is_some_and(|(vm, _, reported_at)| {
+                    holder.as_ref() == Some(vm) && reported_at > since
                 });
-                let heard = self.lapsed.as_ref().map(|(_, last_order, _)| *last_order);
-                self.last_order_before = heard.filter(|_| has_lapsed);
-                if !is_free && !has_lapsed && now.since(*since) < SPAN {
-                    self.next_call = now + LOOK;
+                let expired_last_order =
+                    self.expired.as_ref().map(|(_, last_order, _)| *last_order);
+                self.previous_last_order = expired_last_order.filter(|_| has_expired);
+                if !is_free && !has_expired && now.since(*since) < LEASE_DURATION {
+                    self.next_call = now + POLL_INTERVAL;
                     return None;
                 }
                 let previous = previous_of(stored).filter(|previous| *previous != self.me);
@@ -272,8 +277,8 @@
                 self.write(expected, previous)
             }
         };
-        self.calling_since = Some(now);
-        self.next_call = now + RETRY_PAUSE;
+        self.call_started_at = Some(now);
+        self.next_call = now + RETRY_DELAY;
         Some(effect)
     }
 
@@ -290,43 +295,44 @@
         }
     }
 
-    fn note_read(&mut self, stored: StoredLease, now: LocalTime) -> Vec<LeaseEffect> {
-        let mine = stored
+    fn record_read(&mut self, stored: StoredLease, now: LocalTime) -> Vec<LeaseEffect> {
+        let is_own = stored
             .record
             .as_ref()
             .is_some_and(|record| record.incarnation == self.incarnation);
         if let Some(held) = &mut self.held {
-            if mine {
-                // An update whose answer was lost took effect; it counts from its reading back only.
+            if is_own {
+                // An update whose reply was lost took effect. It doesn't extend the
+                // lease, since the time of sending is no longer known.
                 held.revision = stored.revision;
-                self.seen = Some((stored, now));
+                self.last_read = Some((stored, now));
                 return Vec::new();
             }
             self.held = None;
-            self.seen = Some((stored, now));
+            self.last_read = Some((stored, now));
             return vec![LeaseEffect::Lost];
         }
         let is_unchanged = self
-            .seen
+            .last_read
             .as_ref()
             .is_some_and(|(seen, _)| seen.revision == stored.revision);
         if !is_unchanged {
-            self.seen = Some((stored, now));
+            self.last_read = Some((stored, now));
         }
         Vec::new()
     }
 
-    fn note_written(&mut self, revision: u64, now: LocalTime) -> Vec<LeaseEffect> {
-        let sent_at = self.calling_since.take().unwrap_or(now);
-        let valid_until = sent_at + SPAN;
-        let before = self.seen.take();
+    fn record_write(&mut self, revision: u64, now: LocalTime) -> Vec<LeaseEffect> {
+        let sent_at = self.call_started_at.take().unwrap_or(now);
+        let valid_until = sent_at + LEASE_DURATION;
+        let before = self.last_read.take();
         let record = LeaseRecord {
             holder: Some(self.me.clone()),
             previous: None,
             incarnation: self.incarnation,
             update: self.update,
         };
-        self.seen = Some((
+        self.last_read = Some((
             StoredLease {
                 revision,
                 record: Some(record),
@@ -348,8 +354,8 @@
         let order_from = if is_resumed {
             now
         } else {
-            let last_order = self.last_order_before.take().unwrap_or(now);
-            now.max(last_order + self.order_gap + GAP_MARGIN)
+            let last_order = self.previous_last_order.take().unwrap_or(now);
+            now.max(last_order + self.order_gap + ORDER_GAP_MARGIN)
         };
         self.held = Some(HeldLease {
             fence: revision,
@@ -358,7 +364,7 @@
             order_from,
             previous,
         });
-        self.next_call = now + RENEWAL;
+        self.next_call = now + RENEWAL_INTERVAL;
         vec![LeaseEffect::Acquired {
             fence: revision,
             order_from,
--- a/crates/clementinepond_dispatch/src/peer/peer_table.rs
+++ b/crates/clementinepond_dispatch/src/peer/peer_table.rs
@@ -1,72 +1,75 @@
-//! The other VMs, as far as this one knows.
+//! Membership and last known state of the other VMs.
 
-use super::{ModelDemand, PeerNews};
-use crate::ledger::EndpointKey;
+use super::{ModelDemand, PeerHeartbeat};
+use crate::load::NameHash;
 use crate::select::rendezvous_weight;
 use clementinepond_types::{AccountId, DataCentreId, LocalTime, TimeSpan, VmId};
 use fnv::FnvHashMap;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Silence after which a peer no longer counts as heard; several news are
-/// sent within it, so that lost datagrams alone do not silence a peer.
-const SILENCE: TimeSpan = TimeSpan::from_millis(1_500);
-/// Peers for which the silence is doubled, since news come less often in a
-/// larger fleet.
-const SILENCE_DOUBLING: u64 = 70;
-/// VMs of a data centre that watch the store for the others; two, so that one
-/// may be lost.
-const WATCHERS: usize = 2;
-/// Largest fleet in which every VM watches the store itself.
-pub const SMALL_FLEET: usize = 12;
-/// Silence after which a peer no longer counts at all; longer than the
-/// partitions that the platform announces.
-const FORGET_AFTER: TimeSpan = TimeSpan::from_secs(25);
+/// Time without contact after which a peer is no longer live. Several heartbeats are
+/// sent within it, so that a lost datagram does not matter.
+const LIVENESS_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
+/// Number of peers at which the liveness timeout is doubled, since heartbeats are less
+/// frequent in a larger fleet.
+const TIMEOUT_DOUBLING_PEERS: u64 = 70;
+/// Number of VMs of a data centre that watch the store for the others; two, so that one
+/// may fail.
+const WATCHERS_PER_DATA_CENTRE: usize = 2;
+/// Largest number of VMs in a fleet, this one included, in which every VM watches the
+/// store itself.
+pub const SMALL_FLEET_MAX_VMS: usize = 12;
+/// Time without contact after which a peer is removed; longer than the partitions that
+/// the platform announces.
+const PEER_EXPIRY: TimeSpan = TimeSpan::from_secs(25);
 
-/// Age of the last message up to which a VM knows what a peer admits; a few times
-/// the usual gap between a busy peer's requests.
-const CURRENT_AGE: TimeSpan = TimeSpan::from_millis(500);
-/// Part of the peers that must be heard so lately: enough of those in contact
-/// are, by chance, and too few when a tenth of the fleet and more is cut off.
-const CURRENT_PARTS: (usize, usize) = (3, 4);
+/// Age of the last contact up to which a peer's usage counts as known; a few times the
+/// usual interval between a busy peer's requests.
+const FRESH_CONTACT_AGE: TimeSpan = TimeSpan::from_millis(500);
+/// Share of the peers that must have been in contact within that age, as numerator and
+/// denominator. Not every live peer sends a request in that time, but enough do; when a
+/// tenth of the fleet or more is cut off, too few do.
+const FRESH_PEER_SHARE: (usize, usize) = (3, 4);
 
-/// Link beyond which a VM watches as well as any other, in megabits a second.
-const ENOUGH_LINK_MBPS: u32 = 100;
-/// Key of the line of watchers.
-const WATCH_KEY: u64 = 1;
+/// Bandwidth above which a wider link no longer raises a VM's watcher rank, in megabits
+/// per second.
+const MAX_RANKED_LINK_MBPS: u32 = 100;
+/// Rendezvous key that orders the watchers.
+const WATCHER_RANK_KEY: u64 = 1;
 
-/// One peer.
+/// Last known state of a peer.
 #[derive(Debug, Clone)]
 pub struct PeerState {
     /// Address for messages.
     pub address: SocketAddrV4,
-    /// Last news.
-    pub news: Option<Box<PeerNews>>,
-    /// Moment of the last news, or of the first mention.
-    pub heard_at: LocalTime,
+    /// Last heartbeat; `None` until one has arrived.
+    pub heartbeat: Option<Box<PeerHeartbeat>>,
+    /// Time of the last contact with the peer's process, or of the first mention.
+    pub last_seen: LocalTime,
 }
 
-/// Units of an account that a peer admitted since its last news.
+/// Units of an account that a peer admitted since its last message.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RemoteUse {
-    /// Account.
+pub struct RemoteUsage {
+    /// Account that the units belong to.
     pub account: AccountId,
-    /// Units.
+    /// Number of units; negative after a refund.
     pub units: f64,
-    /// Level of the peer's bucket.
+    /// Level of the peer's copy of the bucket.
     pub level: f64,
-    /// Whether this is the first news of that process.
+    /// Whether this is the first heartbeat from that VM.
     pub is_first: bool,
 }
 
-/// All peers.
+/// Table of the other VMs.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     peers: BTreeMap<VmId, PeerState>,
 }
 
 impl PeerTable {
-    /// Notes that a peer exists.
+    /// Adds a peer or updates its address; returns whether either was new.
     pub fn learn(&mut self, vm: &VmId, address: SocketAddrV4, now: LocalTime) -> bool {
         if let Some(peer) = self.peers.get_mut(vm) {
             let is_moved = peer.address != address;
@@ -75,65 +78,69 @@
         }
         let state = PeerState {
             address,
-            news: None,
-            heard_at: now,
+            heartbeat: None,
+            last_seen: now,
         };
         self.peers.insert(vm.clone(), state);
         true
     }
 
-    /// Takes over news; returns what the peer's accounts used, or nothing when
-    /// the news are out of date.
-    pub fn note_news(
+    /// Records a heartbeat.
+    ///
+    /// Returns the usage of the peer's accounts since its last one, or `None` when the
+    /// heartbeat is out of date.
+    pub fn record_heartbeat(
         &mut self,
         vm: &VmId,
         address: SocketAddrV4,
-        news: Box<PeerNews>,
+        heartbeat: Box<PeerHeartbeat>,
         now: LocalTime,
-    ) -> Option<Vec<RemoteUse>> {
+    ) -> Option<Vec<RemoteUsage>> {
         self.learn(vm, address, now);
         let peer = self.peers.get_mut(vm)?;
-        let before = peer.news.as_ref();
-        let same_process = before.is_some_and(|old| old.incarnation == news.incarnation);
-        if same_process && before.is_some_and(|old| old.number >= news.number) {
+        let before = peer.heartbeat.as_ref();
+        let is_same_process = before.is_some_and(|old| old.incarnation == heartbeat.incarnation);
+        if is_same_process && before.is_some_and(|old| old.number >= heartbeat.number) {
             return None;
         }
-        let mut uses = Vec::new();
-        for account in &news.accounts {
-            let earlier = before
-                .filter(|_| same_process)
+        let mut usages = Vec::new();
+        for account in &heartbeat.accounts {
+            let known_admitted = before
+                .filter(|_| is_same_process)
                 .and_then(|old| {
                     old.accounts
                         .iter()
                         .find(|one| one.account == account.account)
                 })
                 .map_or(0, |one| one.admitted);
-            uses.push(RemoteUse {
+            usages.push(RemoteUsage {
                 account: account.account.clone(),
-                units: difference(account.admitted, earlier),
+                units: difference(account.admitted, known_admitted),
                 level: account.level as f64,
                 is_first: before.is_none(),
             });
         }
-        peer.news = Some(news);
-        peer.heard_at = now;
-        Some(uses)
+        peer.heartbeat = Some(heartbeat);
+        peer.last_seen = now;
+        Some(usages)
     }
 
-    /// Notes what a peer has admitted for an account; returns the units since its
-    /// last message, or nothing when the peer's process is not known.
-    pub fn note_admitted(
+    /// Records the units that a peer has admitted for an account.
+    ///
+    /// Returns the units since its last message, or `None` when the peer's process or
+    /// its use of the account is not known.
+    pub fn record_admitted(
         &mut self,
         vm: &VmId,
         incarnation: u64,
         account: &AccountId,
         admitted: u64,
     ) -> Option<f64> {
-        let news = self.peers.get_mut(vm)?.news.as_mut()?;
-        if news.incarnation != incarnation {
+        let heartbeat = self.peers.get_mut(vm)?.heartbeat.as_mut()?;
+        if heartbeat.incarnation != incarnation {
             return None;
         }
-        let known = news
+        let known = heartbeat
             .accounts
             .iter_mut()
             .find(|one| one.account == *account)?;
@@ -142,33 +149,35 @@
         Some(units)
     }
 
-    /// Notes that a peer's process was heard.
-    pub fn note_heard(&mut self, vm: &VmId, incarnation: u64, now: LocalTime) {
+    /// Records contact with a peer, if the process is the one of its last heartbeat.
+    pub fn record_contact(&mut self, vm: &VmId, incarnation: u64, now: LocalTime) {
         if let Some(peer) = self.peers.get_mut(vm) {
-            let news = peer.news.as_ref();
-            if news.is_some_and(|news| news.incarnation == incarnation) {
-                peer.heard_at = now;
+            let heartbeat = peer.heartbeat.as_ref();
+            if heartbeat.is_some_and(|heartbeat| heartbeat.incarnation == incarnation) {
+                peer.last_seen = now;
             }
         }
     }
 
-    /// Tells whether knowledge of the peers' quota use is up to date.
+    /// Returns whether the knowledge of the peers' usage is up to date.
     #[must_use]
-    pub fn is_current(&self, now: LocalTime) -> bool {
-        let fresh = self
+    pub fn is_usage_fresh(&self, now: LocalTime) -> bool {
+        let in_contact = self
             .peers
             .values()
-            .filter(|peer| peer.news.is_some() && now.since(peer.heard_at) < CURRENT_AGE)
+            .filter(|peer| {
+                peer.heartbeat.is_some() && now.since(peer.last_seen) < FRESH_CONTACT_AGE
+            })
             .count();
-        fresh * CURRENT_PARTS.1 >= self.peers.len() * CURRENT_PARTS.0
+        in_contact * FRESH_PEER_SHARE.1 >= self.peers.len() * FRESH_PEER_SHARE.0
     }
 
-    /// Forgets peers that have been silent for long; returns their names.
+    /// Removes peers that have been out of contact for too long; returns their IDs.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<VmId> {
         let gone: Vec<VmId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| now.since(peer.heard_at) > FORGET_AFTER)
+            .filter(|(_, peer)| now.since(peer.last_seen) > PEER_EXPIRY)
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in &gone {
@@ -182,19 +191,20 @@
         self.peers.iter()
     }
 
-    /// Returns the peers that were heard lately.
-    pub fn heard(&self, now: LocalTime) -> impl Iterator<Item = (&VmId, &PeerState)> {
+    /// Returns the live peers.
+    pub fn live(&self, now: LocalTime) -> impl Iterator<Item = (&VmId, &PeerState)> {
         let peers = self.peers.len() as u64;
-        let silence = SILENCE.fraction(SILENCE_DOUBLING + peers, SILENCE_DOUBLING);
-        self.peers
-            .iter()
-            .filter(move |(_, peer)| peer.news.is_some() && now.since(peer.heard_at) < silence)
+        let timeout =
+            LIVENESS_TIMEOUT.fraction(TIMEOUT_DOUBLING_PEERS + peers, TIMEOUT_DOUBLING_PEERS);
+        self.peers.iter().filter(move |(_, peer)| {
+            peer.heartbeat.is_some() && now.since(peer.last_seen) < timeout
+        })
     }
 
-    /// Returns a VM's place in line for watching the store in its data centre,
-    /// the same on all VMs that hear each other.
+    /// Returns the rank of a VM among the watcher candidates of its data centre.
     ///
-    /// VMs whose links carry the news of a whole data centre come first.
+    /// The rank is the same on all VMs that are in contact with each other. VMs whose
+    /// links can carry the changes for a whole data centre come first.
     #[must_use]
     pub fn watch_rank(
         &self,
@@ -203,24 +213,27 @@
         data_centre: &DataCentreId,
         now: LocalTime,
     ) -> usize {
-        let place = |vm: &VmId, link_mbps: u32| {
-            let link = link_mbps.min(ENOUGH_LINK_MBPS);
-            (link, rendezvous_weight(WATCH_KEY, vm.as_str()))
+        let rank_key = |vm: &VmId, link_mbps: u32| {
+            let link = link_mbps.min(MAX_RANKED_LINK_MBPS);
+            (link, rendezvous_weight(WATCHER_RANK_KEY, vm.as_str()))
         };
-        let own = place(me, link_mbps);
-        self.heard(now)
+        let own = rank_key(me, link_mbps);
+        self.live(now)
             .filter(|(_, peer)| {
-                let news = peer.news.as_ref();
-                news.is_some_and(|news| news.has_store && news.data_centre == *data_centre)
+                let heartbeat = peer.heartbeat.as_ref();
+                heartbeat.is_some_and(|heartbeat| {
+                    heartbeat.has_store && heartbeat.data_centre == *data_centre
+                })
             })
             .filter(|(vm, peer)| {
-                let news = peer.news.as_ref();
-                news.is_some_and(|news| place(vm, news.link_mbps) > own)
+                let heartbeat = peer.heartbeat.as_ref();
+                heartbeat.is_some_and(|heartbeat| rank_key(vm, heartbeat.link_mbps) > own)
             })
             .count()
     }
 
-    /// Tells whether a VM watches the store itself rather than hear of changes.
+    /// Returns whether a VM watches the store itself rather than receive changes from
+    /// peers.
     #[must_use]
     pub fn is_watcher(
         &self,
@@ -229,30 +242,30 @@
         data_centre: &DataCentreId,
         now: LocalTime,
     ) -> bool {
-        let is_small = self.peers.len() < SMALL_FLEET;
-        is_small || self.watch_rank(me, link_mbps, data_centre, now) < WATCHERS
+        let is_small = self.peers.len() < SMALL_FLEET_MAX_VMS;
+        is_small || self.watch_rank(me, link_mbps, data_centre, now) < WATCHERS_PER_DATA_CENTRE
     }
 
-    /// Returns the number of peers that were heard lately, and of all.
+    /// Returns the number of live peers and of all peers.
     #[must_use]
-    pub fn contact(&self, now: LocalTime) -> (usize, usize) {
-        (self.heard(now).count(), self.peers.len())
+    pub fn peer_counts(&self, now: LocalTime) -> (usize, usize) {
+        (self.live(now).count(), self.peers.len())
     }
 
-    /// Returns the holder of the placement duty, with its fencing number.
+    /// Returns the live holder of the placement lease, with its fencing number.
     #[must_use]
-    pub fn duty_holder(&self, now: LocalTime) -> Option<(&VmId, u64)> {
-        self.heard(now)
-            .filter_map(|(vm, peer)| Some((vm, peer.news.as_ref()?.duty?)))
+    pub fn lease_holder(&self, now: LocalTime) -> Option<(&VmId, u64)> {
+        self.live(now)
+            .filter_map(|(vm, peer)| Some((vm, peer.heartbeat.as_ref()?.lease_fence?)))
             .max_by_key(|(_, fence)| *fence)
     }
 
-    /// Returns the time since a peer was last heard.
+    /// Returns the time since the last contact with a peer.
     #[must_use]
     pub fn age(&self, vm: &VmId, now: LocalTime) -> TimeSpan {
         self.peers
             .get(vm)
-            .map_or(FORGET_AFTER, |peer| now.since(peer.heard_at))
+            .map_or(PEER_EXPIRY, |peer| now.since(peer.last_seen))
     }
 
     /// Returns a peer's address.
@@ -264,29 +277,38 @@
     /// Returns a peer's data centre.
     #[must_use]
     pub fn data_centre(&self, vm: &VmId) -> Option<&DataCentreId> {
-        let news = self.peers.get(vm)?.news.as_ref()?;
-        Some(&news.data_centre)
+        let heartbeat = self.peers.get(vm)?.heartbeat.as_ref()?;
+        Some(&heartbeat.data_centre)
     }
 
-    /// Returns the units of each account that are asked a second at all peers
-    /// that were heard lately.
+    /// Returns the units requested per second of each account, summed over the live
+    /// peers.
     #[must_use]
-    pub fn asked(&self, now: LocalTime) -> FnvHashMap<AccountId, f64> {
+    pub fn requested_per_s(&self, now: LocalTime) -> FnvHashMap<AccountId, f64> {
         let mut sum: FnvHashMap<AccountId, f64> = FnvHashMap::default();
-        for (_, peer) in self.heard(now) {
-            for account in peer.news.iter().flat_map(|news| &news.accounts) {
-                *sum.entry(account.account.clone()).or_default() += f64::from(account.asked_per_s);
+        for (_, peer) in self.live(now) {
+            for account in peer
+                .heartbeat
+                .iter()
+                .flat_map(|heartbeat| &heartbeat.accounts)
+            {
+                *sum.entry(account.account.clone()).or_default() +=
+                    f64::from(account.requested_per_s);
             }
         }
         sum
     }
 
-    /// Returns the demand of all peers that were heard lately.
+    /// Returns the demand for each model, summed over the live peers.
     #[must_use]
-    pub fn demand(&self, now: LocalTime) -> FnvHashMap<EndpointKey, ModelDemand> {
-        let mut sum: FnvHashMap<EndpointKey, ModelDemand> = FnvHashMap::default();
-        for (_, peer) in self.heard(now) {
-            for (model, demand) in peer.news.iter().flat_map(|news| &news.demand) {
+    pub fn demand(&self, now: LocalTime) -> FnvHashMap<NameHash, ModelDemand> {
+        let mut sum: FnvHashMap<NameHash, ModelDemand> = FnvHashMap::default();
+        for (_, peer) in self.live(now) {
+            for (model, demand) in peer
+                .heartbeat
+                .iter()
+                .flat_map(|heartbeat| &heartbeat.demand)
+            {
                 let total = sum.entry(*model).or_default();
                 *total = total.plus(*demand);
             }
@@ -295,7 +317,7 @@
     }
 }
 
-/// Returns how much a count has grown; it falls when a request is refunded.
+/// Returns the change of a count, which is negative after a refund.
 fn difference(after: u64, before: u64) -> f64 {
     after as f64 - before as f64
 }
--- a/crates/clementinepond_dispatch/src/place/choose.rs
+++ b/crates/clementinepond_dispatch/src/place/choose.rs
@@ -1,67 +1,75 @@
-//! Choice of the next move.
+//! Selection of the next placement move.
 
 use super::view::{EngineView, PlacementView};
 use clementinepond_types::TimeSpan;
 
-/// Work a copy above which a model deserves another one, in engines.
-const CROWDED_WORK: f64 = 0.22;
-/// The same for a model with one copy, whose loss would stop its requests for
-/// a whole load.
-const LONE_WORK: f64 = 0.08;
-/// Share of the crowded model's work a copy that a model giving up a copy may
-/// reach at most; keeps moves from going back and forth.
-const GIVE_UP_SHARE: f64 = 0.6;
+/// Utilization per copy above which a model gets another copy, in engines.
+const COPY_UTILIZATION_LIMIT: f64 = 0.22;
+/// Utilization above which a model with a single copy gets a second one, in engines.
+/// Losing the only copy would stop the model's requests for the duration of a load.
+const SINGLE_COPY_UTILIZATION_LIMIT: f64 = 0.08;
+/// Highest utilization per copy that a model may reach by an eviction, as a share of
+/// that of the model to load. Keeps moves from oscillating.
+const EVICTION_UTILIZATION_RATIO: f64 = 0.6;
 /// Age below which a copy is not evicted.
-const SETTLING_TIME: TimeSpan = TimeSpan::from_secs(4);
+const MIN_EVICTION_AGE: TimeSpan = TimeSpan::from_secs(4);
 
-/// One move: evict copies from an engine, then load a model there.
+/// Move that evicts copies from an engine and then loads a model there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementMove {
-    /// Index of the engine.
+    /// Index into the view's engines.
     pub engine: usize,
     /// Indices of the models to unload first.
     pub unload: Vec<usize>,
     /// Index of the model to load.
     pub load: usize,
-    /// Whether the weights come from the weight store.
+    /// Whether the weights are loaded from the weight store.
     pub from_store: bool,
 }
 
-/// Chooses the most useful move, if there is one worth its cost.
+/// Returns the most useful move that is possible, or `None`.
+///
+/// Models without a copy come first, then those with the highest utilization per copy.
 #[must_use]
 pub fn choose_move(view: &PlacementView) -> Option<PlacementMove> {
     let copies = count_copies(view);
     let serving = count_serving(view);
-    let mut wanted: Vec<(bool, f64, usize)> = view
+    let mut candidates: Vec<(bool, f64, usize)> = view
         .models
         .iter()
         .enumerate()
         .filter_map(|(index, model)| match copies[index] {
-            0 if model.is_awaited => None,
+            0 if model.is_return_expected => None,
             0 => Some((
                 true,
-                model.work + f64::from(u8::from(model.is_wanted)),
+                model.utilization + f64::from(u8::from(model.has_demand)),
                 index,
             )),
             count => {
-                let crowding = model.work / count as f64;
-                let limit = if count == 1 { LONE_WORK } else { CROWDED_WORK };
-                (crowding > limit).then_some((false, crowding, index))
+                let copy_utilization = model.utilization / count as f64;
+                let limit = if count == 1 {
+                    SINGLE_COPY_UTILIZATION_LIMIT
+                } else {
+                    COPY_UTILIZATION_LIMIT
+                };
+                (copy_utilization > limit).then_some((false, copy_utilization, index))
             }
         })
         .collect();
-    wanted.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-    wanted.into_iter().find_map(|(is_lost, crowding, model)| {
-        let limit = if is_lost {
-            f64::INFINITY
-        } else {
-            crowding * GIVE_UP_SHARE
-        };
-        best_engine(view, model, limit, &serving)
-    })
+    candidates.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
+    candidates
+        .into_iter()
+        .find_map(|(is_lost, copy_utilization, model)| {
+            let limit = if is_lost {
+                f64::INFINITY
+            } else {
+                copy_utilization * EVICTION_UTILIZATION_RATIO
+            };
+            best_engine(view, model, limit, &serving)
+        })
 }
 
-/// Counts the copies of each model that serve or will serve.
+/// Counts the copies of each model that serve or may come to serve.
 fn count_copies(view: &PlacementView) -> Vec<usize> {
     let mut copies = vec![0; view.models.len()];
     for engine in view.engines.iter().filter(|engine| engine.is_usable) {
@@ -98,18 +106,20 @@
         if !is_warm && !view.may_load_from_store {
             continue;
         }
-        let Some((unload, loss)) = make_room(view, engine, model, limit, serving) else {
+        let Some((unload, worst_utilization)) = make_room(view, engine, model, limit, serving)
+        else {
             continue;
         };
-        let span = load_time(engine, model, view.models[model].load_times);
-        let seconds = span.micros() as f64 / 1e6;
-        let busy: f64 = engine
+        let duration = load_time(engine, model, view.models[model].load_times);
+        let seconds = duration.micros() as f64 / 1e6;
+        let staying_utilization: f64 = engine
             .models
             .iter()
             .filter(|(held, _)| !unload.contains(held))
-            .map(|(held, _)| view.models[*held].work / serving[*held].max(1) as f64)
+            .map(|(held, _)| view.models[*held].utilization / serving[*held].max(1) as f64)
             .sum();
-        let cost = loss + seconds * 0.2 + busy + 0.1 * unload.len() as f64;
+        let cost =
+            worst_utilization + seconds * 0.2 + staying_utilization + 0.1 * unload.len() as f64;
         if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             let chosen = PlacementMove {
                 engine: index,
@@ -123,8 +133,9 @@
     best.map(|(_, chosen)| chosen)
 }
 
-/// Chooses copies to evict so that the model fits; returns them with the
-/// work a copy that the worst of them will reach.
+/// Selects the copies to evict so that the model fits.
+///
+/// Returns them with the highest utilization per copy that the eviction causes.
 fn make_room(
     view: &PlacementView,
     engine: &EngineView,
@@ -135,31 +146,31 @@
     let needed = view.models[model].weights_mb;
     let mut free = engine.free_mb;
     let mut unload = Vec::new();
-    let mut loss = 0.0_f64;
+    let mut worst_utilization = 0.0_f64;
     let mut victims: Vec<(f64, usize)> = engine
         .models
         .iter()
-        .filter(|(held, age)| serving[*held] > 1 && *age >= SETTLING_TIME)
+        .filter(|(held, age)| serving[*held] > 1 && *age >= MIN_EVICTION_AGE)
         .map(|(held, _)| {
             let left = (serving[*held] - 1) as f64;
-            (view.models[*held].work / left, *held)
+            (view.models[*held].utilization / left, *held)
         })
-        .filter(|(crowding, _)| *crowding <= limit)
+        .filter(|(copy_utilization, _)| *copy_utilization <= limit)
         .collect();
     victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-    for (crowding, victim) in victims {
+    for (copy_utilization, victim) in victims {
         if free >= needed {
             break;
         }
         free += view.models[victim].weights_mb;
-        loss = loss.max(crowding);
+        worst_utilization = worst_utilization.max(copy_utilization);
         unload.push(victim);
     }
-    (free >= needed).then_some((unload, loss))
+    (free >= needed).then_some((unload, worst_utilization))
 }
 
-/// Returns the time that an engine needs to load a model, given the times from
-/// the weight store, from disk and from host memory.
+/// Returns an engine's load time for a model, given the times from the weight store,
+/// from disk and from host memory.
 pub(super) fn load_time(engine: &EngineView, model: usize, times: [TimeSpan; 3]) -> TimeSpan {
     let [store, disk, memory] = times;
     if engine.in_memory.contains(&model) {
--- a/crates/clementinepond_dispatch/src/select/engine_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/engine_choice.rs
@@ -1,131 +1,133 @@
-//! Choice of a model engine by the predicted time to the first token.
+//! Selects a model engine by its predicted time to the first token.
 //!
-//! Answers the load of long prompts: what makes callers wait is the prompt
-//! text queued before theirs, so candidates are compared by the text they
-//! still have to read, the part of this prompt in their cache, and their batch.
-//! A request that no engine can start in time is refused at once.
+//! With long prompts, most of a request's latency is the prefill queued ahead of it.
+//! Candidates are therefore compared by the prompt tokens that they still have to
+//! process, the part of this prompt in their prefix cache, and the occupancy of their
+//! slots and KV cache. A request that no engine can start in time is refused at once.
 
 use crate::fleet::{EndpointEntry, TokenDemand};
 use crate::health::HealthGrade;
-use crate::ledger::{LoadShare, READ_TOKENS_PER_MS};
+use crate::load::{EndpointLoad, PREFILL_TOKENS_PER_MS};
 use clementinepond_types::TimeSpan;
 
-/// Time of one step of an engine, in milliseconds.
-const STEP_MS: f64 = 6.0;
-/// Time to load an adapter through the planner, in milliseconds.
+/// Duration of one engine step, in milliseconds.
+const DECODE_STEP_MS: f64 = 6.0;
+/// Time to load an adapter into a free slot, in milliseconds.
 const ADAPTER_LOAD_MS: f64 = 35.0;
-/// Time to load an adapter where another one has to make way, in milliseconds.
+/// Time to load an adapter when another one has to be evicted first, in milliseconds.
 const ADAPTER_SWAP_MS: f64 = 400.0;
-/// Handicap of an engine in another data centre, in milliseconds.
-const DISTANCE_MS: f64 = 12.0;
-/// Handicap of an engine that has left the list, in milliseconds.
-const MISSING_MS: f64 = 400.0;
-/// Time a slot stays taken on average when all are, in milliseconds.
-const SLOT_TURN_MS: f64 = 1_500.0;
-/// Handicap of an engine whose memory is overbooked by a whole cache, in milliseconds.
-const MEMORY_OVERBOOKED_MS: f64 = 4_000.0;
-/// Share of an engine's memory up to which runs do not displace each other.
-const MEMORY_COMFORT: f64 = 0.9;
-/// Share of the time left within which the first token has to be predicted.
-const TIME_SHARE: f64 = 0.6;
-/// Share of the caller's patience within which it has to be; predictions err
-/// by a tenth at long queues.
-const PATIENCE_SHARE: f64 = 0.85;
+/// Score penalty of an engine in another data centre, in milliseconds.
+const REMOTE_PENALTY_MS: f64 = 12.0;
+/// Score penalty of an engine that is unlisted or on trial, in milliseconds.
+const UNLISTED_PENALTY_MS: f64 = 400.0;
+/// Mean time until a slot becomes free when all are taken, in milliseconds.
+const SLOT_OCCUPANCY_MS: f64 = 1_500.0;
+/// Predicted delay when the KV cache is overcommitted by its whole capacity, in
+/// milliseconds.
+const KV_OVERCOMMIT_PENALTY_MS: f64 = 4_000.0;
+/// Share of the KV cache up to which running requests do not evict each other.
+const KV_CACHE_SOFT_LIMIT: f64 = 0.9;
+/// Share of the remaining request time within which the first token must be predicted.
+const DEADLINE_SHARE: f64 = 0.6;
+/// Share of the caller's first-token wait within which it must be predicted;
+/// predictions are off by a tenth when queues are long.
+const FIRST_TOKEN_WAIT_SHARE: f64 = 0.85;
 
-/// Whether an engine holds the adapter of a request.
+/// Whether an engine can serve a request's adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdapterReadiness {
-    /// Loaded, or none is needed.
+    /// The adapter is loaded, or the request needs none.
     Ready,
-    /// Has to be loaded first.
+    /// The adapter is not loaded; a slot is free.
     Missing,
-    /// Has to be loaded in the place of another one.
-    Crowded,
+    /// The adapter is not loaded, and another one must be evicted first.
+    NeedsEviction,
 }
 
-/// One engine that holds the model.
+/// An engine that holds the requested model.
 #[derive(Debug, Clone)]
 pub struct EngineCandidate<'a> {
-    /// Description.
+    /// Description of the engine.
     pub endpoint: &'a EndpointEntry,
-    /// Load that all VMs put on it.
-    pub load: LoadShare,
-    /// Prompt tokens that it still has to read for others.
-    pub unread_tokens: f64,
-    /// Tokens of the prompt that it probably holds.
+    /// Load from the requests of all VMs.
+    pub load: EndpointLoad,
+    /// Prompt tokens queued ahead of this request.
+    pub prefill_tokens: f64,
+    /// Estimated number of the prompt's tokens in the engine's prefix cache.
     pub cached_tokens: u64,
-    /// How far it is trusted.
+    /// Health of the engine.
     pub grade: HealthGrade,
-    /// Whether it holds the adapter.
+    /// Whether the request's adapter is loaded.
     pub adapter: AdapterReadiness,
-    /// Whether it is in the VM's data centre.
+    /// Whether the engine is in the VM's own data centre.
     pub is_local: bool,
-    /// Whether it has left the list.
-    pub is_missing: bool,
-    /// Measured time over predicted time.
-    pub pace: f64,
+    /// Whether the engine is no longer listed in the store.
+    pub is_unlisted: bool,
+    /// Ratio of measured to predicted time to the first token.
+    pub slowdown: f64,
 }
 
-/// The request to place.
+/// Request to be placed on an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineRequest {
-    /// Tokens declared.
+    /// Declared prompt and output tokens.
     pub tokens: TokenDemand,
-    /// Slots of an engine.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into an engine's cache.
+    /// Capacity of an engine's KV cache, in tokens.
     pub kv_capacity: u64,
-    /// Time that the caller still waits for the whole answer.
+    /// Time until the caller's deadline for the complete answer.
     pub time_left: TimeSpan,
-    /// Time that it still waits for the first token.
-    pub patience: TimeSpan,
+    /// Time until the caller's deadline for the first token.
+    pub first_token_wait: TimeSpan,
 }
 
-/// What to do with a request.
+/// Result of the engine selection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EngineVerdict {
-    /// Send it to this candidate.
+    /// Send the request to a candidate.
     Send {
-        /// Index of the candidate.
+        /// Index into the candidates.
         index: usize,
         /// Predicted time to the first token.
         first_token: TimeSpan,
     },
-    /// Refuse it; no engine can start it in time.
+    /// Refuse the request, since no engine can start it in time.
     Refuse {
-        /// Time after which the queue is short enough.
+        /// Time after which a retry is expected to start in time.
         retry_after: TimeSpan,
     },
     /// No engine holds the model.
     NoCopy,
 }
 
-/// Predicts the time to the first token, in milliseconds.
+/// Returns the predicted time to the first token, in milliseconds.
 #[must_use]
 pub fn predict_first_token(candidate: &EngineCandidate<'_>, request: &EngineRequest) -> f64 {
     let uncached = request
         .tokens
         .prompt
         .saturating_sub(candidate.cached_tokens) as f64;
-    let reading = (candidate.unread_tokens + uncached) / READ_TOKENS_PER_MS + STEP_MS;
-    let over = f64::from((candidate.load.runs + 1).saturating_sub(request.slots));
-    let slot_wait = over * SLOT_TURN_MS / f64::from(request.slots.max(1));
+    let prefill = (candidate.prefill_tokens + uncached) / PREFILL_TOKENS_PER_MS + DECODE_STEP_MS;
+    let over_slots = f64::from((candidate.load.runs + 1).saturating_sub(request.slots));
+    let slot_wait = over_slots * SLOT_OCCUPANCY_MS / f64::from(request.slots.max(1));
     let capacity = request.kv_capacity.max(1) as f64;
-    let booked =
+    let kv_usage =
         (f64::from(candidate.load.context_tokens) + request.tokens.total() as f64) / capacity;
-    let memory_wait = (booked - MEMORY_COMFORT).max(0.0) * MEMORY_OVERBOOKED_MS;
+    let kv_wait = (kv_usage - KV_CACHE_SOFT_LIMIT).max(0.0) * KV_OVERCOMMIT_PENALTY_MS;
     let adapter = match candidate.adapter {
         AdapterReadiness::Ready => 0.0,
         AdapterReadiness::Missing => ADAPTER_LOAD_MS,
-        AdapterReadiness::Crowded => ADAPTER_SWAP_MS,
+        AdapterReadiness::NeedsEviction => ADAPTER_SWAP_MS,
     };
-    reading * candidate.pace + slot_wait + memory_wait + adapter
+    prefill * candidate.slowdown + slot_wait + kv_wait + adapter
 }
 
-/// Chooses an engine.
+/// Selects the engine with the lowest score: its predicted time to the first token plus
+/// penalties.
 #[must_use]
 pub fn choose_engine(candidates: &[EngineCandidate<'_>], request: &EngineRequest) -> EngineVerdict {
-    let Some(best_grade) = candidates.iter().map(|one| one.grade).min() else {
+    let Some(best_grade) = candidates.iter().map(|candidate| candidate.grade).min() else {
         return EngineVerdict::NoCopy;
     };
     let mut best: Option<(f64, f64, usize)> = None;
@@ -136,10 +138,10 @@
         let first_token = predict_first_token(candidate, request);
         let mut score = first_token;
         if !candidate.is_local {
-            score += DISTANCE_MS;
+            score += REMOTE_PENALTY_MS;
         }
-        if candidate.is_missing || candidate.grade == HealthGrade::Trial {
-            score += MISSING_MS;
+        if candidate.is_unlisted || candidate.grade == HealthGrade::Trial {
+            score += UNLISTED_PENALTY_MS;
         }
         if best.is_none_or(|(lowest, ..)| score < lowest) {
             best = Some((score, first_token, index));
@@ -148,10 +150,11 @@
     let Some((_, first_token, index)) = best else {
         return EngineVerdict::NoCopy;
     };
-    let time = request.time_left.millis() as f64 * TIME_SHARE;
-    let patience = time.min(request.patience.millis() as f64 * PATIENCE_SHARE);
-    if first_token > patience {
-        let excess = (first_token - patience).max(1.0);
+    let deadline_limit = request.time_left.millis() as f64 * DEADLINE_SHARE;
+    let limit =
+        deadline_limit.min(request.first_token_wait.millis() as f64 * FIRST_TOKEN_WAIT_SHARE);
+    if first_token > limit {
+        let excess = (first_token - limit).max(1.0);
         return EngineVerdict::Refuse {
             retry_after: TimeSpan::from_millis(excess as u64),
         };
--- /dev/null
+++ b/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
@@ -0,0 +1,92 @@
+//! Estimate of the prompt blocks in each endpoint's prefix cache.
+//!
+//! The index is built from requests sent to endpoints. A request's blocks are assumed
+//! to stay in the cache until newer ones evict them.
+
+use crate::fleet::PromptBlock;
+use crate::load::NameHash;
+use clementinepond_types::LocalTime;
+use fnv::FnvHashMap;
+
+#[derive(Debug, Default)]
+struct CachedBlocks {
+    last_used: FnvHashMap<(NameHash, u64), (u64, LocalTime)>,
+    tokens: u64,
+}
+
+/// Index of the prompt blocks that endpoints are likely to have cached.
+#[derive(Debug, Default)]
+pub struct PrefixCacheIndex {
+    endpoints: FnvHashMap<NameHash, CachedBlocks>,
+}
+
+impl PrefixCacheIndex {
+    /// Records that an endpoint has processed a prompt.
+    ///
+    /// `capacity` is the size of the endpoint's cache, in tokens.
+    pub fn record_prefill(
+        &mut self,
+        endpoint: NameHash,
+        weights: NameHash,
+        blocks: &[PromptBlock],
+        capacity: u64,
+        now: LocalTime,
+    ) {
+        let cached = self.endpoints.entry(endpoint).or_default();
+        for block in blocks {
+            let before = cached
+                .last_used
+                .insert((weights, block.id), (block.tokens, now));
+            if before.is_none() {
+                cached.tokens += block.tokens;
+            }
+        }
+        if cached.tokens > capacity {
+            cached.evict(capacity);
+        }
+    }
+
+    /// Returns the number of tokens in the longest prefix of a prompt that an endpoint
+    /// has likely cached.
+    #[must_use]
+    pub fn cached_tokens(
+        &self,
+        endpoint: NameHash,
+        weights: NameHash,
+        blocks: &[PromptBlock],
+    ) -> u64 {
+        let Some(cached) = self.endpoints.get(&endpoint) else {
+            return 0;
+        };
+        blocks
+            .iter()
+            .take_while(|block| cached.last_used.contains_key(&(weights, block.id)))
+            .map(|block| block.tokens)
+            .sum()
+    }
+
+    /// Removes an endpoint whose cache was lost.
+    pub fn forget(&mut self, endpoint: NameHash) {
+        self.endpoints.remove(&endpoint);
+    }
+}
+
+impl CachedBlocks {
+    /// Evicts the least recently used blocks until at most half of the capacity is
+    /// taken.
+    fn evict(&mut self, capacity: u64) {
+        let mut oldest: Vec<_> = self
+            .last_used
+            .iter()
+            .map(|(key, (tokens, at))| (*at, *key, *tokens))
+            .collect();
+        oldest.sort_unstable_by_key(|(at, ..)| *at);
+        for (_, key, tokens) in oldest {
+            if self.tokens <= capacity / 2 {
+                break;
+            }
+            self.last_used.remove(&key);
+            self.tokens -= tokens;
+        }
+    }
+}
--- a/crates/clementinepond_dispatch/src/select/service_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/service_choice.rs
@@ -1,46 +1,46 @@
-//! Choice of an endpoint of a plain service by its queue.
+//! Selects an endpoint of a service without models by its queue.
 
 use crate::fleet::EndpointEntry;
 use crate::health::HealthGrade;
-use crate::ledger::LoadShare;
+use crate::load::EndpointLoad;
 use clementinepond_types::TimeSpan;
 
-/// Handicap of an endpoint in another data centre, in milliseconds.
-const DISTANCE_MS: f64 = 3.0;
-/// Handicap of an endpoint that has left the list, in milliseconds.
-const MISSING_MS: f64 = 300.0;
-/// Cost of each request that already runs there, in milliseconds; spreads
-/// requests over idle endpoints.
-const COMPANY_MS: f64 = 2.0;
+/// Score penalty of an endpoint in another data centre, in milliseconds.
+const REMOTE_PENALTY_MS: f64 = 3.0;
+/// Score penalty of an endpoint that is no longer listed, in milliseconds.
+const UNLISTED_PENALTY_MS: f64 = 300.0;
+/// Score penalty for each request that an endpoint already runs, in milliseconds;
+/// spreads requests over endpoints with free slots.
+const RUNNING_REQUEST_PENALTY_MS: f64 = 2.0;
 
-/// One endpoint of a plain service.
+/// An endpoint of a service without models.
 #[derive(Debug, Clone)]
 pub struct ServiceCandidate<'a> {
-    /// Description.
+    /// Description of the endpoint.
     pub endpoint: &'a EndpointEntry,
-    /// Load that all VMs put on it.
-    pub load: LoadShare,
-    /// How far it is trusted.
+    /// Load from the requests of all VMs.
+    pub load: EndpointLoad,
+    /// Health of the endpoint.
     pub grade: HealthGrade,
-    /// Whether it is in the VM's data centre.
+    /// Whether the endpoint is in the VM's own data centre.
     pub is_local: bool,
-    /// Whether it has left the list.
-    pub is_missing: bool,
-    /// Measured time of one request, in milliseconds.
-    pub work_ms: f64,
+    /// Whether the endpoint is no longer listed in the store.
+    pub is_unlisted: bool,
+    /// Measured service time of one request, in milliseconds.
+    pub service_time_ms: f64,
 }
 
-/// What to do with a request.
+/// Result of the endpoint selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceVerdict {
-    /// Send it to this candidate.
+    /// Send the request to a candidate.
     Send {
-        /// Index of the candidate.
+        /// Index into the candidates.
         index: usize,
     },
-    /// Refuse it; no endpoint comes free in time.
+    /// Refuse the request, since no endpoint can finish it in time.
     Refuse {
-        /// Time after which the queue is short enough.
+        /// Time after which a retry is expected to finish in time; at least 50 ms.
         retry_after: TimeSpan,
     },
     /// The service has no endpoint.
@@ -49,17 +49,18 @@
 
 fn wait_ms(candidate: &ServiceCandidate<'_>) -> f64 {
     let slots = candidate.endpoint.slots.max(1);
-    let over = f64::from((candidate.load.runs + 1).saturating_sub(slots));
-    over * candidate.work_ms / f64::from(slots)
+    let over_slots = f64::from((candidate.load.runs + 1).saturating_sub(slots));
+    over_slots * candidate.service_time_ms / f64::from(slots)
 }
 
-/// Chooses an endpoint for a request whose caller waits `time_left`.
+/// Selects the endpoint with the lowest score for a request that must end within
+/// `time_left`.
 #[must_use]
 pub fn choose_service_endpoint(
     candidates: &[ServiceCandidate<'_>],
     time_left: TimeSpan,
 ) -> ServiceVerdict {
-    let Some(best_grade) = candidates.iter().map(|one| one.grade).min() else {
+    let Some(best_grade) = candidates.iter().map(|candidate| candidate.grade).min() else {
         return ServiceVerdict::NoEndpoint;
     };
     let mut best: Option<(f64, usize)> = None;
@@ -67,12 +68,13 @@
         if candidate.grade > best_grade {
             continue;
         }
-        let mut score = wait_ms(candidate) + COMPANY_MS * f64::from(candidate.load.runs);
+        let mut score =
+            wait_ms(candidate) + RUNNING_REQUEST_PENALTY_MS * f64::from(candidate.load.runs);
         if !candidate.is_local {
-            score += DISTANCE_MS;
+            score += REMOTE_PENALTY_MS;
         }
-        if candidate.is_missing {
-            score += MISSING_MS;
+        if candidate.is_unlisted {
+            score += UNLISTED_PENALTY_MS;
         }
         if best.is_none_or(|(lowest, _)| score < lowest) {
             best = Some((score, index));
@@ -82,7 +84,7 @@
         return ServiceVerdict::NoEndpoint;
     };
     let candidate = &candidates[index];
-    let needed = wait_ms(candidate) + candidate.work_ms;
+    let needed = wait_ms(candidate) + candidate.service_time_ms;
     let left = time_left.millis() as f64;
     if needed > left {
         let retry_after = TimeSpan::from_millis((needed - left).max(50.0) as u64);
--- a/crates/clementinepond_dispatch/src/suspect/mod.rs
+++ b/crates/clementinepond_dispatch/src/suspect/mod.rs
@@ -1,31 +1,31 @@
 //! Requests that crash the endpoints that run them.
 //!
-//! A request is known by a fingerprint of its path, account and body, since a
-//! caller sends it again under a new identity. After a few crashes it is no
-//! longer sent anywhere.
+//! A request is identified by a fingerprint of its path, account and body, since a
+//! caller retries it under a new request ID. After a few crashes it is no longer sent
+//! to any endpoint.
 
 use clementinepond_types::{LocalTime, TimeSpan};
 use fnv::FnvHashMap;
 
-/// Crashes after which a request is refused.
+/// Number of crashes up to which a request is still sent; the next crash blocks it.
 const CRASH_LIMIT: u32 = 2;
-/// Time for which a crash is held against a request.
-const CRASH_MEMORY: TimeSpan = TimeSpan::from_secs(120);
-/// Largest number of fingerprints kept.
+/// Time since the last crash for which a request stays blocked.
+const CRASH_RETENTION: TimeSpan = TimeSpan::from_secs(120);
+/// Number of fingerprints from which expired ones are removed.
 const FINGERPRINT_LIMIT: usize = 4_096;
 
-/// Crashes by fingerprint.
+/// Crash counts by request fingerprint.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
     crashes: FnvHashMap<u64, (u32, LocalTime)>,
 }
 
 impl CrashSuspects {
-    /// Counts a crash; returns the number counted so far.
-    pub fn note_crash(&mut self, fingerprint: u64, now: LocalTime) -> u32 {
+    /// Counts a crash; returns the request's crash count.
+    pub fn record_crash(&mut self, fingerprint: u64, now: LocalTime) -> u32 {
         if self.crashes.len() >= FINGERPRINT_LIMIT {
             self.crashes
-                .retain(|_, (_, at)| now.since(*at) < CRASH_MEMORY);
+                .retain(|_, (_, at)| now.since(*at) < CRASH_RETENTION);
         }
         let entry = self.crashes.entry(fingerprint).or_insert((0, now));
         entry.0 += 1;
@@ -33,11 +33,11 @@
         entry.0
     }
 
-    /// Tells whether a request is no longer sent anywhere.
+    /// Returns whether a request is blocked.
     #[must_use]
-    pub fn is_condemned(&self, fingerprint: u64, now: LocalTime) -> bool {
+    pub fn is_blocked(&self, fingerprint: u64, now: LocalTime) -> bool {
         self.crashes
             .get(&fingerprint)
-            .is_some_and(|(count, at)| *count > CRASH_LIMIT && now.since(*at) < CRASH_MEMORY)
+            .is_some_and(|(count, at)| *count > CRASH_LIMIT && now.since(*at) < CRASH_RETENTION)
     }
 }
