--- a/crates/clementinepond_daemon/src/node/status.rs
+++ b/crates/clementinepond_daemon/src/node/status.rs
@@ -112,7 +112,7 @@
         accounts
             .filter_map(|account| {
                 let status = self.state.limit.account_status(account, now)?;
-                let home = self.state.limit.home(account);
+                let home = self.state.limit.owner(account);
                 Some(AccountLine {
                     account: account.as_str().into(),
                     home: home.map_or_else(Box::default, |vm| vm.as_str().into()),
--- a/crates/clementinepond_decide/src/limit/account.rs
+++ b/crates/clementinepond_decide/src/limit/account.rs
@@ -1,39 +1,39 @@
-//! What a VM remembers about one account.
+//! State of one account on this VM.
 
 use super::bucket::TokenBucket;
 use super::event::{AccountLimit, TicketId};
-use super::home::hash_account;
-use super::lot::{BorrowedChannel, LentChannel};
 use super::message::{ChannelId, LevelHint};
+use super::owner::hash_account;
 use super::settings::{LimitMutation, LimitSettings};
+use super::token_loan::{BorrowedChannel, LentChannel};
 use clementinepond_types::{AccountId, LocalTime, PriorityClass, TokenCount, VmId};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Place in the queue: priority first, then order of arrival.
+/// Position in the queue: higher priority first, then order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     pub(super) priority: Reverse<PriorityClass>,
     pub(super) number: u64,
 }
 
-/// Who waits for tokens.
+/// Request that waits for tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Claimant {
     /// A request on this VM.
     Local(TicketId),
     /// A request on another VM.
     Remote {
-        /// VM that waits.
+        /// VM of the request.
         vm: VmId,
-        /// Channel that the tokens go to.
+        /// Channel in which the tokens are lent.
         channel: ChannelId,
-        /// Admission on that VM.
+        /// Ticket of the request on that VM.
         ticket: TicketId,
     },
 }
 
-/// One wait for tokens.
+/// Queued request.
 #[derive(Debug)]
 pub(super) struct QueueEntry {
     pub(super) claimant: Claimant,
@@ -41,33 +41,43 @@
     pub(super) deadline: LocalTime,
 }
 
-/// Answer of another home in the present round of questions.
+/// Request for tokens to another owner, with its answer, in the current round.
 #[derive(Debug)]
 pub(super) struct PeerAnswer {
-    pub(super) asked_at: LocalTime,
+    /// Time of the last request to the owner.
+    pub(super) requested_at: LocalTime,
+    /// Answer; none while the request is unanswered.
     pub(super) hint: Option<LevelHint>,
 }
 
-/// Round of questions to other VMs for missing tokens.
+/// Requests to other VMs for missing tokens, in rounds.
 #[derive(Debug, Default)]
-pub(super) struct AskRound {
+pub(super) struct RequestRound {
+    /// Start of the current round of requests to owners in other data centres.
     pub(super) started_at: Option<LocalTime>,
+    /// Owners in other data centres that were sent a request.
     pub(super) answers: BTreeMap<VmId, PeerAnswer>,
-    pub(super) repeat_at: Option<LocalTime>,
-    pub(super) repeats: u32,
+    /// Earliest time of the next request to the owner in this data centre.
+    pub(super) retry_at: Option<LocalTime>,
+    /// Requests sent to the owner in this data centre.
+    pub(super) retries: u32,
 }
 
-/// State of one account.
+/// Limit, tokens, loans and queue of one account.
 #[derive(Debug)]
 pub(super) struct AccountState {
     pub(super) hash: u64,
+    /// Fleet-wide limit; none when the account is inactive.
     pub(super) limit: Option<AccountLimit>,
     pub(super) bucket: TokenBucket,
-    pub(super) homes: BTreeMap<u64, VmId>,
+    /// Owner in this data centre under each member list, by the list's digest.
+    pub(super) owners: BTreeMap<u64, VmId>,
+    /// Token loans from other VMs, by lender.
     pub(super) borrowed: BTreeMap<VmId, BorrowedChannel>,
+    /// Token loans to other VMs, by borrower and channel.
     pub(super) lent: BTreeMap<(VmId, ChannelId), LentChannel>,
     pub(super) queue: BTreeMap<QueueKey, QueueEntry>,
-    pub(super) round: AskRound,
+    pub(super) round: RequestRound,
     next_number: u64,
 }
 
@@ -77,29 +87,33 @@
             hash: hash_account(account),
             limit: None,
             bucket: TokenBucket::new(now),
-            homes: BTreeMap::new(),
+            owners: BTreeMap::new(),
             borrowed: BTreeMap::new(),
             lent: BTreeMap::new(),
             queue: BTreeMap::new(),
-            round: AskRound::default(),
+            round: RequestRound::default(),
             next_number: 0,
         }
     }
 
-    /// Refills the bucket and drops lots whose deadline has passed.
-    pub(super) fn settle(&mut self, now: LocalTime, settings: &LimitSettings) {
-        while let Some((peer, deadline)) = self.next_lapse(now, settings) {
+    /// Refills the bucket up to `now` and ends the token loans past their
+    /// deadline.
+    ///
+    /// Borrowed capacity counts for the refill up to its own deadline.
+    pub(super) fn advance(&mut self, now: LocalTime, settings: &LimitSettings) {
+        while let Some((peer, deadline)) = self.next_expiry(now, settings) {
             self.bucket.refill(deadline);
             if let Some(channel) = self.borrowed.remove(&peer) {
-                self.bucket.give_up(channel.outstanding(), TokenCount::ZERO);
+                self.bucket
+                    .return_borrowed(channel.outstanding(), TokenCount::ZERO);
             }
         }
         self.bucket.refill(now);
-        self.resume_lapsed(now, settings);
+        self.reclaim_expired(now, settings);
     }
 
-    fn next_lapse(&self, now: LocalTime, settings: &LimitSettings) -> Option<(VmId, LocalTime)> {
-        if settings.has(LimitMutation::KeepLapsedLots) {
+    fn next_expiry(&self, now: LocalTime, settings: &LimitSettings) -> Option<(VmId, LocalTime)> {
+        if settings.has(LimitMutation::KeepExpiredTokenLoans) {
             return None;
         }
         self.borrowed
@@ -110,24 +124,24 @@
             .map(|(peer, deadline)| (peer.clone(), deadline))
     }
 
-    fn resume_lapsed(&mut self, now: LocalTime, settings: &LimitSettings) {
+    fn reclaim_expired(&mut self, now: LocalTime, settings: &LimitSettings) {
         let bucket = &mut self.bucket;
         self.lent.retain(|_, channel| {
-            if !channel.is_over(now) {
+            if !channel.is_expired(now) {
                 return true;
             }
             let outstanding = channel.outstanding();
-            let level = if settings.has(LimitMutation::ResumeFull) {
+            let level = if settings.has(LimitMutation::ReclaimFull) {
                 outstanding
             } else {
                 TokenCount::ZERO
             };
-            bucket.resume(outstanding, level);
+            bucket.reclaim(outstanding, level);
             false
         });
     }
 
-    /// Adds an entry behind those of its priority.
+    /// Queues an entry after the others of its priority.
     pub(super) fn enqueue(&mut self, priority: PriorityClass, entry: QueueEntry) -> QueueKey {
         let key = QueueKey {
             priority: Reverse(priority),
@@ -138,17 +152,18 @@
         key
     }
 
-    /// Returns the tokens that every waiting request needs together.
+    /// Returns the total cost of the waiting requests.
     pub(super) fn demand(&self) -> TokenCount {
         self.queue.values().map(|entry| entry.cost).sum()
     }
 
-    /// Returns the tokens that are missing for the waiting requests.
+    /// Returns the tokens that the waiting requests need beyond the level.
     pub(super) fn shortfall(&self) -> TokenCount {
         self.demand().saturating_sub(self.bucket.level())
     }
 
-    /// Returns what this VM has left, for another VM's planning.
+    /// Returns the tokens that the queue leaves over, with rate and slice, as
+    /// an estimate for other VMs.
     pub(super) fn hint(&self) -> LevelHint {
         LevelHint {
             level: self.bucket.level().saturating_sub(self.demand()),
@@ -157,7 +172,7 @@
         }
     }
 
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn has_no_channels(&self) -> bool {
         self.borrowed.is_empty() && self.lent.is_empty()
     }
 }
--- a/crates/clementinepond_decide/src/limit/admit.rs
+++ b/crates/clementinepond_decide/src/limit/admit.rs
@@ -2,7 +2,7 @@
 
 use super::account::{Claimant, QueueEntry};
 use super::effect::RefusalReason;
-use super::event::{AdmissionAsk, TicketId};
+use super::event::{AdmissionRequest, TicketId};
 use super::outbox::EffectOutbox;
 use super::reservation::{Ticket, TicketState, Waiting};
 use super::serve;
@@ -10,64 +10,65 @@
 use super::state::LimitState;
 use clementinepond_types::{LocalTime, TokenCount};
 
-/// Puts a request into its account's queue, or refuses it at once.
-pub(super) fn ask(
+/// Queues a request for its account, or refuses it at once.
+pub(super) fn request(
     state: &mut LimitState,
-    ask: AdmissionAsk,
+    request: AdmissionRequest,
     now: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
-    if state.tickets.contains_key(&ask.ticket) {
+    if state.tickets.contains_key(&request.ticket) {
         return;
     }
-    let cost = ask.prompt + ask.output;
-    let account = state.accounts.get_mut(&ask.account);
+    let cost = request.prompt + request.output;
+    let account = state.accounts.get_mut(&request.account);
     let Some((account, limit)) = account.and_then(|account| {
         let limit = account.limit?;
         Some((account, limit))
     }) else {
-        return outbox.refuse(ask.ticket, RefusalReason::NoAccount, None);
+        return outbox.refuse(request.ticket, RefusalReason::NoAccount, None);
     };
     if cost > limit.burst {
         let reason = RefusalReason::LargerThanBurst {
             cost,
             burst: limit.burst,
         };
-        return outbox.refuse(ask.ticket, reason, None);
+        return outbox.refuse(request.ticket, reason, None);
     }
-    account.settle(now, &state.settings);
+    account.advance(now, &state.settings);
     let entry = QueueEntry {
-        claimant: Claimant::Local(ask.ticket),
+        claimant: Claimant::Local(request.ticket),
         cost,
-        deadline: ask.deadline.min(now + state.settings.queue_wait),
+        deadline: request.deadline.min(now + state.settings.queue_wait),
     };
     let ticket = Ticket {
-        account: ask.account.clone(),
-        prompt: ask.prompt,
-        output: ask.output,
+        account: request.account.clone(),
+        prompt: request.prompt,
+        output: request.output,
         state: Waiting {
-            key: account.enqueue(ask.priority, entry),
+            key: account.enqueue(request.priority, entry),
         },
     };
-    account.round.repeat_at = None;
+    account.round.retry_at = None;
     state
         .tickets
-        .insert(ask.ticket, TicketState::Waiting(ticket));
-    serve::serve(state, &ask.account, now, outbox);
+        .insert(request.ticket, TicketState::Waiting(ticket));
+    serve::serve(state, &request.account, now, outbox);
 }
 
-/// Frees the capacity held for the prompt.
+/// Marks the prompt's tokens as spent and frees the capacity held for them.
 pub(super) fn started(state: &mut LimitState, ticket: TicketId) {
     progress(state, ticket, TokenCount::ZERO);
 }
 
-/// Frees the capacity held for tokens that have been generated.
+/// Marks the prompt and the generated tokens as spent and frees the capacity
+/// held for them.
 pub(super) fn progress(state: &mut LimitState, ticket: TicketId, generated: TokenCount) {
     let Some(TicketState::Admitted(ticket)) = state.tickets.get_mut(&ticket) else {
         return;
     };
     let spent = ticket.spend_up_to(ticket.prompt + generated);
-    if state.settings.has(LimitMutation::ForgetHolds) {
+    if state.settings.has(LimitMutation::ReserveWithoutHold) {
         return;
     }
     if let Some(account) = state.accounts.get_mut(&ticket.account) {
@@ -75,7 +76,8 @@
     }
 }
 
-/// Ends an admission and returns what was not used.
+/// Ends an admission: refunds unused tokens and charges those used beyond the
+/// reservation.
 pub(super) fn settle(
     state: &mut LimitState,
     ticket: TicketId,
@@ -88,7 +90,7 @@
         Some(TicketState::Waiting(ticket)) => {
             if let Some(account) = state.accounts.get_mut(&ticket.account) {
                 account.queue.remove(&ticket.state.key);
-                account.settle(now, &state.settings);
+                account.advance(now, &state.settings);
             }
             serve::serve(state, &ticket.account, now, outbox);
         }
@@ -96,7 +98,7 @@
             let Some(account) = state.accounts.get_mut(&ticket.account) else {
                 return;
             };
-            account.settle(now, &state.settings);
+            account.advance(now, &state.settings);
             let spent = ticket.spend_up_to(used);
             let excess = used.saturating_sub(ticket.cost());
             account.bucket.spend(spent);
--- a/crates/clementinepond_decide/src/limit/bucket.rs
+++ b/crates/clementinepond_decide/src/limit/bucket.rs
@@ -1,19 +1,24 @@
-//! The token bucket of one account on one VM.
+//! Token bucket of one account on one VM.
 //!
-//! Level and held capacity together never exceed the capacity, which is the
-//! own slice plus borrowed minus lent capacity.
+//! The capacity is the VM's own slice plus borrowed minus lent capacity. The
+//! level is clamped so that level and held capacity together stay within it.
 
 use clementinepond_types::{LocalTime, TokenCount, TokenRate};
 
 /// Tokens and capacity of one account on this VM.
 #[derive(Debug, Default)]
 pub(super) struct TokenBucket {
+    /// Refill rate of the own slice.
     rate: TokenRate,
+    /// Capacity of the own slice.
     slice: TokenCount,
     borrowed: TokenCount,
     lent: TokenCount,
+    /// Tokens available now.
     level: TokenCount,
+    /// Capacity reserved for tokens that admitted requests have not spent yet.
     held: TokenCount,
+    /// Tokens used beyond reservations; refills and refunds pay them off first.
     debt: TokenCount,
     refilled_at: LocalTime,
 }
@@ -54,8 +59,8 @@
         (self.slice + self.borrowed).saturating_sub(self.lent)
     }
 
-    /// Returns capacity that neither tokens nor reservations fill.
-    pub(super) fn room(&self) -> TokenCount {
+    /// Returns the capacity that neither tokens nor reservations fill.
+    pub(super) fn free_capacity(&self) -> TokenCount {
         self.capacity().saturating_sub(self.held + self.level)
     }
 
@@ -74,7 +79,8 @@
         self.clamp();
     }
 
-    /// Turns tokens into held capacity; `false` when there are too few.
+    /// Converts tokens to held capacity; returns `false` when the level is too
+    /// low.
     pub(super) fn reserve(&mut self, cost: TokenCount, is_held: bool) -> bool {
         if self.level < cost {
             return false;
@@ -86,12 +92,12 @@
         true
     }
 
-    /// Frees held capacity whose tokens were spent.
+    /// Frees held capacity whose tokens have been spent.
     pub(super) fn spend(&mut self, amount: TokenCount) {
         self.held = self.held.saturating_sub(amount);
     }
 
-    /// Turns held capacity back into tokens.
+    /// Converts held capacity back to tokens, which first pay off debt.
     pub(super) fn refund(&mut self, amount: TokenCount) {
         self.held = self.held.saturating_sub(amount);
         let paid = amount.min(self.debt);
@@ -100,14 +106,15 @@
         self.clamp();
     }
 
-    /// Charges tokens that were used beyond a reservation.
+    /// Charges tokens used beyond a reservation; what the level does not cover
+    /// becomes debt.
     pub(super) fn overdraw(&mut self, amount: TokenCount) {
         let paid = amount.min(self.level);
         self.level = self.level.saturating_sub(paid);
         self.debt += amount.saturating_sub(paid);
     }
 
-    /// Moves capacity together with the tokens that fill it to a borrower.
+    /// Lends tokens, and with `with_capacity` also the capacity that they fill.
     pub(super) fn lend(&mut self, amount: TokenCount, with_capacity: bool) {
         self.level = self.level.saturating_sub(amount);
         if with_capacity {
@@ -115,22 +122,22 @@
         }
     }
 
-    /// Takes lent capacity back, with the tokens that came along.
-    pub(super) fn resume(&mut self, capacity: TokenCount, level: TokenCount) {
+    /// Takes back lent capacity and the tokens returned with it.
+    pub(super) fn reclaim(&mut self, capacity: TokenCount, level: TokenCount) {
         self.lent = self.lent.saturating_sub(capacity);
         self.level += level;
         self.clamp();
     }
 
-    /// Adds borrowed capacity together with the tokens that fill it.
+    /// Adds borrowed capacity and the tokens that fill it.
     pub(super) fn borrow(&mut self, amount: TokenCount) {
         self.borrowed += amount;
         self.level += amount;
         self.clamp();
     }
 
-    /// Gives borrowed capacity up, with tokens that go along.
-    pub(super) fn give_up(&mut self, capacity: TokenCount, level: TokenCount) {
+    /// Returns borrowed capacity and the tokens that go back with it.
+    pub(super) fn return_borrowed(&mut self, capacity: TokenCount, level: TokenCount) {
         self.borrowed = self.borrowed.saturating_sub(capacity);
         self.level = self.level.saturating_sub(level);
         self.clamp();
--- a/crates/clementinepond_decide/src/limit/compact.rs
+++ b/crates/clementinepond_decide/src/limit/compact.rs
@@ -1,8 +1,8 @@
-//! Compact forms of quantities in messages between VMs.
+//! Serialization of quantities as plain integers in messages between VMs.
 //!
-//! Settings and objects print their units; messages carry plain numbers.
+//! Settings and platform objects print quantities with their units instead.
 
-/// Token counts, as micro-tokens.
+/// Token counts as micro-tokens.
 pub(super) mod count {
     use clementinepond_types::TokenCount;
     use serde::{Deserialize, Deserializer, Serializer};
@@ -21,7 +21,7 @@
     }
 }
 
-/// Token rates, as micro-tokens a second.
+/// Token rates as micro-tokens per second.
 pub(super) mod rate {
     use clementinepond_types::TokenRate;
     use serde::{Deserialize, Deserializer, Serializer};
@@ -40,7 +40,7 @@
     }
 }
 
-/// Lengths of time, as microseconds.
+/// Durations as microseconds.
 pub(super) mod span {
     use clementinepond_types::TimeSpan;
     use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/clementinepond_decide/src/limit/effect.rs
+++ b/crates/clementinepond_decide/src/limit/effect.rs
@@ -1,4 +1,4 @@
-//! What the limits ask their edge to do.
+//! Effects of the limits, carried out by the I/O layer.
 
 use super::event::TicketId;
 use super::message::LimitMessage;
@@ -6,11 +6,11 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Reason of a refusal; the refused request has not run.
+/// Reason why a request was refused; the request has not run.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The account has used what it is owed for now.
-    #[display("account is over its rate; send the request again after the time given")]
+    /// The account has used up the tokens that its rate allows for now.
+    #[display("account is over its rate; send the request again after the stated time")]
     OverRate,
     /// The request costs more than the account's burst.
     #[display(
@@ -19,48 +19,51 @@
     LargerThanBurst {
         /// Tokens that the request needs.
         cost: TokenCount,
-        /// Tokens that the account may use at once.
+        /// Burst of the account.
         burst: TokenCount,
     },
-    /// The VMs that hold the rest of the account's limit do not answer.
+    /// The VMs that answer hold too little of the account's limit.
     #[display(
-        "the part of the account's limit within reach is too small; send the request again later"
+        "the VMs that answer hold too little of the account's limit; send the request again later"
     )]
     OutOfReach,
-    /// The account is withdrawn or unknown.
+    /// The account is disabled or unknown.
     #[display("account is not active; ask an operator to create or enable it")]
     NoAccount,
 }
 
-/// One effect of the limits.
+/// Effect of the limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitEffect {
-    /// The request may be dispatched until the deadline.
+    /// Allows the request to be dispatched until the deadline.
     ///
-    /// The edge reads the clock again before it dispatches. When the deadline
-    /// has passed it sends the event `Cancel` and asks anew.
+    /// The I/O layer reads the clock again before it dispatches. When the
+    /// deadline has passed, it sends the event `Cancel` and requests admission
+    /// again.
     Admitted {
-        /// Admission of the request.
+        /// Ticket of the request.
         ticket: TicketId,
-        /// Moment after which the admission has lapsed.
+        /// Time at which the admission expires.
         deadline: LocalTime,
     },
-    /// The request is refused and has not run.
+    /// Refuses the request, which has not run.
     Refused {
-        /// Admission of the request.
+        /// Ticket of the request.
         ticket: TicketId,
-        /// Why it is refused.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// Time after which the request could be admitted; none when never.
+        /// Time until the request could be admitted; none when waiting does not
+        /// help.
         retry_after: Option<TimeSpan>,
     },
-    /// A message has to go to another VM.
+    /// Sends a message to another VM.
     Send {
-        /// VM that receives it.
+        /// Receiver.
         to: VmId,
-        /// The message.
+        /// Message to send.
         message: LimitMessage,
     },
-    /// Every right of this VM has been given back.
+    /// Reports that this VM has no running or waiting request and lends
+    /// nothing.
     Released,
 }
--- a/crates/clementinepond_decide/src/limit/event.rs
+++ b/crates/clementinepond_decide/src/limit/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to the limits.
+//! Events that the limits handle.
 
 use super::message::LimitMessage;
 use clementinepond_types::{
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts that make a whole, in a data centre and in the fleet.
+/// Parts of the whole, both of a data centre and of the fleet.
 const WHOLE_PARTS: u64 = 1_024;
 
-/// Number that the edge gives to one admission.
+/// Number that identifies one admission on this VM.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -26,14 +26,14 @@
         Self(value)
     }
 
-    /// Returns the plain number.
+    /// Returns the number.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 }
 
-/// Share of every limit of the fleet, in parts of 1,024 times 1,024.
+/// Fraction of every account's limit, in units of 1/1,024 of 1/1,024.
 #[derive(
     Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -42,28 +42,28 @@
 pub struct PartFraction(u64);
 
 impl PartFraction {
-    /// Nothing.
+    /// Fraction of nothing.
     pub const ZERO: Self = Self(0);
 
-    /// Takes parts of a data centre that has `share` parts of the fleet.
+    /// Converts `parts` of a data centre that has `share` parts of the fleet.
     #[must_use]
     pub fn new(share: PartCount, parts: PartCount) -> Self {
         Self(u64::from(share.get()) * u64::from(parts.get()))
     }
 
-    /// Adds another share.
+    /// Adds another fraction.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// Returns this share of a capacity, rounded down.
+    /// Returns this fraction of a capacity, rounded down.
     #[must_use]
     pub fn of_burst(self, burst: TokenCount) -> TokenCount {
         burst.fraction(self.0, WHOLE_PARTS * WHOLE_PARTS)
     }
 
-    /// Returns this share of a rate, rounded down.
+    /// Returns this fraction of a rate, rounded down.
     #[must_use]
     pub fn of_rate(self, rate: TokenRate) -> TokenRate {
         rate.fraction(self.0, WHOLE_PARTS * WHOLE_PARTS)
@@ -73,104 +73,104 @@
 /// Rate and burst of one account over the whole fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountLimit {
-    /// Tokens a second.
+    /// Refill rate, in tokens per second.
     pub rate: TokenRate,
-    /// Tokens at once.
+    /// Most tokens that the account may use at once.
     pub burst: TokenCount,
 }
 
-/// Limits of every account that is in force, with the version they came with.
+/// Limits of all active accounts, with their version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AccountTable {
-    /// Version of the configuration.
+    /// Version of the configuration that holds the limits.
     pub version: ObjectVersion,
-    /// Limits by account; an account that is missing may run nothing.
+    /// Limits by account; a missing account may run nothing.
     pub limits: BTreeMap<AccountId, AccountLimit>,
 }
 
 /// Members of another data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RemoteCentre {
+pub struct RemoteDataCentre {
     /// Name of the data centre.
     pub data_centre: DataCentreId,
-    /// VMs in its roster.
+    /// VMs in the roster of the data centre.
     pub members: Vec<VmId>,
 }
 
-/// Part of the rosters that the limits depend on.
+/// Roster data that the limits depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterView {
-    /// Epoch of the own data centre's roster.
+    /// Epoch of the roster of this VM's data centre.
     pub epoch: Epoch,
-    /// Parts that this VM holds in its data centre.
+    /// Parts of the data centre that this VM holds, of 1,024.
     pub parts: PartCount,
-    /// Parts of the fleet that the data centre holds.
+    /// Parts of the fleet that the data centre holds, of 1,024.
     pub share: PartCount,
-    /// VMs of the own data centre's roster.
+    /// VMs in the roster of this VM's data centre.
     pub members: Vec<VmId>,
     /// Members of the other data centres.
-    pub remote: Vec<RemoteCentre>,
+    pub remote: Vec<RemoteDataCentre>,
 }
 
-/// Request for admission.
+/// Request to admit a call of an account.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AdmissionAsk {
+pub struct AdmissionRequest {
     /// Number of the admission, unique on this VM.
     pub ticket: TicketId,
-    /// Account that pays.
+    /// Account that is charged.
     pub account: AccountId,
-    /// Tokens spent when the request starts.
+    /// Tokens of the prompt, spent when the request starts.
     pub prompt: TokenCount,
     /// Most tokens that may be generated under this admission.
     pub output: TokenCount,
-    /// Priority class; a larger one is admitted first.
+    /// Priority class; larger ones are admitted first.
     pub priority: PriorityClass,
-    /// Moment after which an admission is of no use.
+    /// Latest time at which an admission is useful.
     pub deadline: LocalTime,
 }
 
-/// One event for the limits.
+/// Event that the limits handle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitEvent {
-    /// A request asks for admission.
-    Ask(AdmissionAsk),
+    /// A request needs admission.
+    Request(AdmissionRequest),
     /// An admitted request was sent to an endpoint.
     Started {
-        /// Admission of the request.
+        /// Ticket of the request.
         ticket: TicketId,
     },
     /// An admitted request has generated tokens.
     Progress {
-        /// Admission of the request.
+        /// Ticket of the request.
         ticket: TicketId,
         /// Tokens generated under the admission so far.
         generated: TokenCount,
     },
-    /// An admitted request has ended.
+    /// An admitted request ended.
     Settle {
-        /// Admission of the request.
+        /// Ticket of the request.
         ticket: TicketId,
-        /// Prompt and generated tokens that were used under the admission.
+        /// Prompt and generated tokens used under the admission.
         used: TokenCount,
     },
-    /// A waiting request was withdrawn, or an admitted one never started.
+    /// A waiting request was withdrawn, or an admitted one was never started.
     Cancel {
-        /// Admission of the request.
+        /// Ticket of the request.
         ticket: TicketId,
     },
-    /// A message of another VM arrived.
+    /// A message from another VM arrived.
     Received {
-        /// VM that sent it.
+        /// Sender.
         from: VmId,
-        /// The message.
+        /// Received message.
         message: LimitMessage,
     },
     /// A roster changed.
     PartsChanged(RosterView),
     /// The limits of accounts changed.
     AccountsChanged(AccountTable),
-    /// The interval between ticks has passed.
+    /// The tick interval has passed.
     Tick,
-    /// This VM stops gracefully and gives its rights back.
+    /// This VM shuts down gracefully and stops lending.
     Release,
 }
--- a/crates/clementinepond_decide/src/limit/message.rs
+++ b/crates/clementinepond_decide/src/limit/message.rs
@@ -1,8 +1,8 @@
-//! What VMs tell each other about limits.
+//! Messages about limits between VMs.
 //!
-//! A message holds every item for one VM, so that control costs grow with
-//! VMs and with used accounts, not with their product. Each item states
-//! totals, never changes, so that repeated or reordered items do no harm.
+//! One message holds all items for one VM, so that control costs grow with VMs
+//! and with accounts in use, not with their product. Each item states totals,
+//! never changes, so that repeated or reordered items are harmless.
 
 use super::effect::RefusalReason;
 use super::event::{PartFraction, TicketId};
@@ -10,7 +10,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Number of one channel between a borrower and a lender.
+/// Identifies one channel between a borrower and a lender.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,78 +22,81 @@
     pub counter: u32,
 }
 
-/// Number of one poll for part loans.
+/// Identifies one poll for part loans.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{incarnation}/{counter}")]
-pub struct LoanStep {
+pub struct PollNumber {
     /// Incarnation of the borrower.
     pub incarnation: u32,
     /// Counter within the incarnation.
     pub counter: u32,
 }
 
-/// Request of a home for the slices of the accounts that it serves.
+/// Request of an owner for the slices of the accounts that it owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanPoll {
     /// Number of the poll.
-    pub step: LoanStep,
-    /// Loan in use; the borrower has given up every earlier one.
-    pub using: Option<LoanStep>,
+    pub number: PollNumber,
+    /// Poll whose loan is in use; the borrower no longer uses any earlier loan.
+    /// None while no loan is confirmed.
+    pub using: Option<PollNumber>,
 }
 
 /// Capacity of one account that the lender of parts keeps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptCapacity {
-    /// The account.
+    /// Account whose capacity is kept.
     pub account: AccountId,
     /// Capacity kept.
     #[serde(with = "super::compact::count")]
     pub capacity: TokenCount,
 }
 
-/// Loan of the lender's parts, for the accounts that the borrower serves.
+/// Loan of the lender's parts, for the accounts that the borrower owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartLoan {
     /// Number of the poll that is answered.
-    pub step: LoanStep,
-    /// Member lists under each of which the borrower must be the home.
+    pub number: PollNumber,
+    /// Digests of the member lists under each of which the borrower must be the
+    /// owner.
     pub rosters: Vec<u64>,
-    /// Parts lent.
+    /// Fraction of the fleet's limits that is lent.
     pub fraction: PartFraction,
     /// Capacity that the lender keeps, for accounts with running requests.
     pub kept: Vec<KeptCapacity>,
-    /// Life of the loan.
+    /// Remaining lifetime of the loan at the lender.
     #[serde(with = "super::compact::span")]
     pub time_left: TimeSpan,
 }
 
-/// One waiting request, as its VM describes it to the home.
+/// Waiting request, reported by its VM to the account's owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LotItem {
-    /// Admission that waits.
+pub struct QueuedRequest {
+    /// Ticket of the request on its VM.
     pub ticket: TicketId,
     /// Tokens needed.
     #[serde(with = "super::compact::count")]
     pub cost: TokenCount,
     /// Priority class.
     pub priority: PriorityClass,
-    /// Time until it is refused.
+    /// Time until the request is refused.
     #[serde(with = "super::compact::span")]
     pub time_left: TimeSpan,
 }
 
-/// State of a channel, told by the borrower.
+/// State of a channel at the borrower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LotReport {
+pub struct TokenLoanReport {
     /// Account of the channel.
     pub account: AccountId,
-    /// The channel.
+    /// Channel that is described.
     pub channel: ChannelId,
     /// Number of the report within the channel.
-    pub step: u32,
-    /// Capacity granted since the channel was opened, as far as is known.
+    pub number: u32,
+    /// Capacity granted since the channel was opened, as far as the borrower
+    /// knows.
     #[serde(with = "super::compact::count")]
     pub granted: TokenCount,
     /// Capacity returned since the channel was opened.
@@ -102,71 +105,73 @@
     /// Tokens returned since the channel was opened.
     #[serde(with = "super::compact::count")]
     pub returned_level: TokenCount,
-    /// Every waiting request that the lender may serve.
-    pub items: Vec<LotItem>,
-    /// Tokens wanted at once, or as many of them as can be spared.
+    /// All waiting requests that the lender may serve.
+    pub requests: Vec<QueuedRequest>,
+    /// Spare tokens wanted now; the lender grants as many of them as it can
+    /// spare.
     #[serde(with = "super::compact::count")]
     pub want: TokenCount,
 }
 
 /// Request that the lender will not serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ItemDenial {
-    /// Admission that is denied.
+pub struct RequestDenial {
+    /// Ticket of the denied request.
     pub ticket: TicketId,
-    /// Why it is denied.
+    /// Reason of the denial.
     pub reason: RefusalReason,
-    /// Time after which it could be served.
+    /// Time until the request could be served.
     #[serde(with = "super::compact::span")]
     pub retry_after: TimeSpan,
 }
 
-/// What a lender has left, as an estimate for the borrower's planning.
+/// Estimate of what a lender has left, for the borrower's decisions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LevelHint {
-    /// Tokens at hand.
+    /// Tokens that the lender's queue leaves over.
     #[serde(with = "super::compact::count")]
     pub level: TokenCount,
-    /// Refill rate.
+    /// Refill rate of the lender's slice.
     #[serde(with = "super::compact::rate")]
     pub rate: TokenRate,
-    /// Capacity.
+    /// Capacity of the lender's slice.
     #[serde(with = "super::compact::count")]
     pub capacity: TokenCount,
 }
 
-/// State of a channel, told by the lender.
+/// State of a channel at the lender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LotGrant {
+pub struct TokenLoanGrant {
     /// Account of the channel.
     pub account: AccountId,
-    /// The channel.
+    /// Channel that is described.
     pub channel: ChannelId,
     /// Incarnation of the lender.
     pub lender: u32,
-    /// Number of the last report seen.
-    pub step: u32,
+    /// Number of the last report that the lender received.
+    pub number: u32,
     /// Capacity and tokens granted since the channel was opened.
     #[serde(with = "super::compact::count")]
     pub granted: TokenCount,
-    /// Life of everything granted in the channel, from that report.
+    /// Lifetime of everything granted in the channel, counted from that report.
     #[serde(with = "super::compact::span")]
     pub time_left: TimeSpan,
-    /// Requests that are denied.
-    pub denied: Vec<ItemDenial>,
-    /// What the lender has left, for a borrower that wants more.
+    /// Requests that the lender denies.
+    pub denied: Vec<RequestDenial>,
+    /// Estimate of what the lender has left; only for a borrower that wants
+    /// more.
     pub hint: Option<LevelHint>,
 }
 
-/// Everything that one VM tells another at one moment.
+/// All items that one VM sends to another while it handles one event.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitMessage {
-    /// Request for a part loan.
+    /// Poll for a part loan.
     pub poll: Option<LoanPoll>,
-    /// Part loan.
+    /// Part loan that answers a poll.
     pub loan: Option<PartLoan>,
     /// Reports of channels in which the sender borrows.
-    pub reports: Vec<LotReport>,
+    pub reports: Vec<TokenLoanReport>,
     /// Grants in channels in which the sender lends.
-    pub grants: Vec<LotGrant>,
+    pub grants: Vec<TokenLoanGrant>,
 }
--- a/crates/clementinepond_decide/src/limit/mod.rs
+++ b/crates/clementinepond_decide/src/limit/mod.rs
@@ -2,15 +2,14 @@
 //!
 //! Every VM holds a slice of each account: a refill rate and a capacity. The
 //! slices of all VMs add up to at most the account's rate and burst, whatever
-//! happens to messages, VMs or data centres, because a slice is moved only
-//! by a grant with a deadline that the borrower observes earlier than the
-//! lender.
+//! happens to messages, VMs or data centres, because a slice moves only by a
+//! grant with a deadline that the borrower observes earlier than the lender.
 //!
 //! Two kinds of grants exist. A *part loan* moves a VM's whole slice of every
-//! account to the account's home, one VM a data centre chosen by rendezvous
-//! hashing. A *lot* moves capacity together with the tokens that fill it,
-//! from a home to a VM with a request to admit, or between homes of one
-//! account in two data centres. Cumulative counters make lost, doubled and
+//! account to the account's owner, one VM per data centre chosen by rendezvous
+//! hashing. A *token loan* moves capacity together with the tokens that fill
+//! it, from an owner to a VM with a request to admit, or between owners of one
+//! account in two data centres. Cumulative counters make lost, duplicated and
 //! reordered messages harmless.
 //!
 //! An admitted request holds its capacity until its tokens are generated, so
@@ -20,15 +19,12 @@
 mod admit;
 mod bucket;
 mod compact;
-
 mod effect;
 mod event;
-mod home;
-mod loan;
-mod lot;
-mod lot_exchange;
 mod message;
 mod outbox;
+mod owner;
+mod part_loan;
 mod peer;
 mod periodic;
 mod poll;
@@ -38,16 +34,18 @@
 mod settings;
 mod slice;
 mod state;
+mod token_loan;
+mod token_loan_exchange;
 mod upstream;
 
 pub use effect::{LimitEffect, RefusalReason};
 pub use event::{
-    AccountLimit, AccountTable, AdmissionAsk, LimitEvent, PartFraction, RemoteCentre, RosterView,
-    TicketId,
+    AccountLimit, AccountTable, AdmissionRequest, LimitEvent, PartFraction, RemoteDataCentre,
+    RosterView, TicketId,
 };
 pub use message::{
-    ChannelId, ItemDenial, KeptCapacity, LevelHint, LimitMessage, LoanPoll, LoanStep, LotGrant,
-    LotItem, LotReport, PartLoan,
+    ChannelId, KeptCapacity, LevelHint, LimitMessage, LoanPoll, PartLoan, PollNumber,
+    QueuedRequest, RequestDenial, TokenLoanGrant, TokenLoanReport,
 };
 pub use reduce::reduce;
 pub use settings::{LimitMutation, LimitSettings};
--- a/crates/clementinepond_decide/src/limit/outbox.rs
+++ b/crates/clementinepond_decide/src/limit/outbox.rs
@@ -1,24 +1,25 @@
-//! Effects and messages gathered while one event is handled.
+//! Collects the effects and messages of one event.
 
 use super::effect::{LimitEffect, RefusalReason};
 use super::event::TicketId;
 use super::message::{
-    ChannelId, ItemDenial, LimitMessage, LoanPoll, LotGrant, LotItem, LotReport, PartLoan,
+    ChannelId, LimitMessage, LoanPoll, PartLoan, QueuedRequest, RequestDenial, TokenLoanGrant,
+    TokenLoanReport,
 };
 use super::state::LimitState;
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Channel to which a grant goes.
+/// Receiver, account and channel of a grant.
 type GrantKey = (VmId, AccountId, ChannelId);
 
-/// Gathers effects; messages to one VM leave as one.
+/// Collects effects; all items for one VM are sent as one message.
 #[derive(Debug, Default)]
 pub(super) struct EffectOutbox {
     effects: Vec<LimitEffect>,
     messages: BTreeMap<VmId, LimitMessage>,
     reports: BTreeSet<(VmId, AccountId)>,
-    grants: BTreeMap<GrantKey, Vec<ItemDenial>>,
+    grants: BTreeMap<GrantKey, Vec<RequestDenial>>,
 }
 
 impl EffectOutbox {
@@ -52,24 +53,24 @@
         self.message(to).loan = Some(loan);
     }
 
-    /// Asks for a report of the account's channel to `to`.
+    /// Schedules a report of the account's channel to `to`.
     pub(super) fn report(&mut self, to: &VmId, account: &AccountId) {
         self.reports.insert((to.clone(), account.clone()));
     }
 
-    /// Asks for a grant in a channel.
+    /// Schedules a grant in a channel.
     pub(super) fn grant(&mut self, to: &VmId, account: &AccountId, channel: ChannelId) {
         let key = (to.clone(), account.clone(), channel);
         self.grants.entry(key).or_default();
     }
 
-    /// Denies one waiting request of another VM.
+    /// Denies a waiting request of another VM.
     pub(super) fn deny(
         &mut self,
         to: &VmId,
         account: &AccountId,
         channel: ChannelId,
-        denial: ItemDenial,
+        denial: RequestDenial,
     ) {
         let key = (to.clone(), account.clone(), channel);
         self.grants.entry(key).or_default().push(denial);
@@ -79,7 +80,8 @@
         self.messages.entry(to.clone()).or_default()
     }
 
-    /// Writes reports and grants as of the end of the event.
+    /// Builds the scheduled reports and grants from the state at the end of the
+    /// event.
     pub(super) fn flush(mut self, state: &mut LimitState, now: LocalTime) -> Vec<LimitEffect> {
         for (to, account) in std::mem::take(&mut self.reports) {
             if let Some(report) = write_report(state, &to, &account, now) {
@@ -105,39 +107,39 @@
     to: &VmId,
     id: &AccountId,
     now: LocalTime,
-) -> Option<LotReport> {
-    let is_home = state.home(id) == Some(to);
+) -> Option<TokenLoanReport> {
+    let is_owner = state.owner(id) == Some(to);
     let account = state.accounts.get_mut(id)?;
-    let is_asked = account.round.answers.contains_key(to);
-    let want = if is_asked {
+    let is_requested = account.round.answers.contains_key(to);
+    let want = if is_requested {
         account.shortfall()
     } else {
         TokenCount::ZERO
     };
-    let items = if is_home && !is_asked {
-        list_items(account, now)
+    let requests = if is_owner && !is_requested {
+        list_requests(account, now)
     } else {
         Vec::new()
     };
     let channel = account.borrowed.get_mut(to)?;
-    Some(LotReport {
+    Some(TokenLoanReport {
         account: id.clone(),
         channel: channel.id,
-        step: channel.next_step(now),
+        number: channel.next_number(now),
         granted: channel.granted(),
         returned_capacity: channel.returned_capacity,
         returned_level: channel.returned_level,
-        items,
+        requests,
         want,
     })
 }
 
-fn list_items(account: &super::account::AccountState, now: LocalTime) -> Vec<LotItem> {
+fn list_requests(account: &super::account::AccountState, now: LocalTime) -> Vec<QueuedRequest> {
     account
         .queue
         .iter()
         .filter_map(|(key, entry)| match entry.claimant {
-            super::account::Claimant::Local(ticket) => Some(LotItem {
+            super::account::Claimant::Local(ticket) => Some(QueuedRequest {
                 ticket,
                 cost: entry.cost,
                 priority: key.priority.0,
@@ -153,12 +155,12 @@
     to: &VmId,
     id: &AccountId,
     channel: ChannelId,
-    denied: Vec<ItemDenial>,
+    denied: Vec<RequestDenial>,
     now: LocalTime,
-) -> Option<LotGrant> {
+) -> Option<TokenLoanGrant> {
     let account = state.accounts.get(id)?;
     let committed = account.bucket.lent() + account.bucket.held();
-    let horizon = now + state.lot_span();
+    let horizon = now + state.token_loan_lifetime();
     let assured = state
         .rights
         .assured_until(id, account, committed, horizon, &state.settings);
@@ -166,13 +168,13 @@
     let account = state.accounts.get_mut(id)?;
     let hint = account.hint();
     let lent = account.lent.get_mut(&(to.clone(), channel))?;
-    let hint = lent.is_gathering.then_some(hint);
+    let hint = lent.wants_tokens.then_some(hint);
     lent.grant(TokenCount::ZERO, deadline);
-    Some(LotGrant {
+    Some(TokenLoanGrant {
         account: id.clone(),
         channel,
         lender: state.incarnation,
-        step: lent.step,
+        number: lent.number,
         granted: lent.granted(),
         time_left: now.until(deadline),
         denied,
--- a/crates/clementinepond_decide/src/limit/home.rs
+++ b/crates/clementinepond_decide/src/limit/owner.rs
@@ -1,8 +1,9 @@
-//! The home of an account: one VM in each data centre.
+//! Choice of an account's owner: one VM in each data centre, by rendezvous
+//! hashing.
 
 use clementinepond_types::{AccountId, VmId};
 
-/// Hash of a name, for the choice of a home.
+/// Hashes a name for the choice of an owner.
 pub(super) fn hash_name(name: &str) -> u64 {
     let digest = blake3::hash(name.as_bytes());
     let mut bytes = [0; 8];
@@ -10,7 +11,7 @@
     u64::from_le_bytes(bytes)
 }
 
-/// Members of one data centre, in the order of their names.
+/// Members of one data centre, sorted by name, with the hash of each name.
 #[derive(Debug, Clone, Default)]
 pub(super) struct MemberList {
     members: Vec<(u64, VmId)>,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Returns a digest that is equal on VMs with the same list.
+    /// Returns a digest that is equal on all VMs with the same list.
     pub(super) fn digest(&self) -> u64 {
         self.digest
     }
@@ -51,19 +52,19 @@
         self.members.iter().map(|(_, name)| name)
     }
 
-    /// Returns the member with the largest weight for the account.
-    pub(super) fn home(&self, account: u64) -> Option<&VmId> {
+    /// Returns the member with the largest weight for the hash of an account.
+    pub(super) fn owner(&self, account: u64) -> Option<&VmId> {
         let weigh = |(hash, _): &&(u64, VmId)| mix(hash ^ account);
         self.members.iter().max_by_key(weigh).map(|(_, name)| name)
     }
 }
 
-/// Hash of an account's name.
+/// Hashes the name of an account.
 pub(super) fn hash_account(account: &AccountId) -> u64 {
     hash_name(account.as_str())
 }
 
-/// Finalizer of the `SplitMix64` generator.
+/// Applies the finalizer of the `SplitMix64` generator.
 const fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/clementinepond_decide/src/limit/loan.rs
+++ b/crates/clementinepond_decide/src/limit/part_loan.rs
@@ -1,6 +1,6 @@
-//! Part loans: loans of a VM's slices to homes, and their lapse.
+//! Part loans: loans of a VM's slices to account owners, and their expiry.
 
-use super::account::{AccountState, AskRound};
+use super::account::{AccountState, RequestRound};
 use super::event::PartFraction;
 use super::message::{KeptCapacity, LoanPoll, PartLoan};
 use super::outbox::EffectOutbox;
@@ -11,13 +11,14 @@
 use clementinepond_types::{AccountId, LocalTime, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Most member lists that one loan may name.
-const ROSTERS_LIMIT: usize = 4;
+/// Largest number of member lists that one loan may name.
+const MAX_ROSTERS_PER_LOAN: usize = 4;
 
-/// Drops loans whose deadline has passed, in the order of their deadlines.
-pub(super) fn lapse(state: &mut LimitState, now: LocalTime) {
-    if !state.settings.has(LimitMutation::KeepLapsedLoans) {
-        while let Some((lender, deadline)) = next_lapse(state, now) {
+/// Ends loans past their deadline, in the order of their deadlines, and ends
+/// the start wait when it is over.
+pub(super) fn expire(state: &mut LimitState, now: LocalTime) {
+    if !state.settings.has(LimitMutation::KeepExpiredPartLoans) {
+        while let Some((lender, deadline)) = next_expiry(state, now) {
             let rights = &mut state.rights;
             if let Some(loan) = rights.borrowed.remove(&lender) {
                 let vm = rights.vm.clone();
@@ -25,9 +26,9 @@
             }
         }
     }
-    resume(state, now);
-    if let StartWait::Until(moment) = state.start_wait
-        && moment <= now
+    reclaim(state, now);
+    if let StartWait::Until(time) = state.start_wait
+        && time <= now
     {
         state.start_wait = StartWait::Over;
         state.rights.is_usable = true;
@@ -35,7 +36,7 @@
     }
 }
 
-fn next_lapse(state: &LimitState, now: LocalTime) -> Option<(VmId, LocalTime)> {
+fn next_expiry(state: &LimitState, now: LocalTime) -> Option<(VmId, LocalTime)> {
     state
         .rights
         .borrowed
@@ -45,25 +46,25 @@
         .map(|(lender, loan)| (lender.clone(), loan.deadline))
 }
 
-fn resume(state: &mut LimitState, now: LocalTime) {
-    let is_over = |loan: &LentParts| loan.deadline <= now;
-    if !state.rights.lent.iter().any(is_over) {
+fn reclaim(state: &mut LimitState, now: LocalTime) {
+    let is_expired = |loan: &LentParts| loan.deadline <= now;
+    if !state.rights.lent.iter().any(is_expired) {
         return;
     }
     let over: Vec<LentParts> = state
         .rights
         .lent
-        .extract_if(.., |loan| is_over(loan))
+        .extract_if(.., |loan| is_expired(loan))
         .collect();
     state.resize_where(now, |account| over.iter().any(|loan| loan.covers(account)));
 }
 
-/// Works every account's home out anew after a change of members.
-pub(super) fn relocate(state: &mut LimitState) {
+/// Determines the owner of every account again after a change of members.
+pub(super) fn reassign_owners(state: &mut LimitState) {
     state.rights.prune_rosters();
     for account in state.accounts.values_mut() {
         state.rights.locate(account);
-        account.round = AskRound::default();
+        account.round = RequestRound::default();
     }
     let members: Vec<VmId> = match state.rights.members() {
         Some(list) => list.iter().cloned().collect(),
@@ -81,7 +82,7 @@
     }
 }
 
-/// Lends this VM's parts to a home that polls for them.
+/// Lends this VM's parts to an owner that polls for them.
 pub(super) fn answer_poll(
     state: &mut LimitState,
     from: &VmId,
@@ -95,24 +96,24 @@
         return;
     }
     let rosters = choose_rosters(state, from);
-    if rosters.len() > ROSTERS_LIMIT {
+    if rosters.len() > MAX_ROSTERS_PER_LOAN {
         return;
     }
     let members = state
         .rights
         .members()
-        .map_or(1, super::home::MemberList::len);
-    let span = state.settings.loan_span(members);
+        .map_or(1, super::owner::MemberList::len);
+    let span = state.settings.part_loan_lifetime(members);
     let mut lent = LentParts {
         borrower: from.clone(),
-        step: poll.step,
+        number: poll.number,
         rosters,
         kept: BTreeMap::new(),
         deadline: now + span,
     };
-    lent.kept = keep_for_running(state, &lent, now);
+    lent.kept = capacity_of_running(state, &lent, now);
     let loan = PartLoan {
-        step: poll.step,
+        number: poll.number,
         rosters: lent.rosters.clone(),
         fraction: state.rights.fraction,
         kept: lent
@@ -125,16 +126,16 @@
             .collect(),
         time_left: span,
     };
-    record(state, lent, now);
+    record_loan(state, lent, now);
     outbox.lend_parts(from, loan);
-    poll::along(state, from, now, outbox);
+    poll::piggyback(state, from, now, outbox);
 }
 
 fn is_stale(state: &LimitState, from: &VmId, poll: &LoanPoll) -> bool {
     state.rights.lent.iter().any(|loan| {
         loan.borrower == *from
-            && loan.step.incarnation == poll.step.incarnation
-            && loan.step.counter >= poll.step.counter
+            && loan.number.incarnation == poll.number.incarnation
+            && loan.number.counter >= poll.number.counter
     })
 }
 
@@ -145,8 +146,8 @@
     };
     let is_superseded = |loan: &LentParts| {
         loan.borrower == *from
-            && loan.step.incarnation == using.incarnation
-            && loan.step.counter < using.counter
+            && loan.number.incarnation == using.incarnation
+            && loan.number.counter < using.counter
     };
     let dropped: Vec<LentParts> = state
         .rights
@@ -160,10 +161,11 @@
     }
 }
 
-/// Names a member list that each loan to another home names too.
+/// Returns the current member list and, for each loan to another owner that
+/// does not name it, a list which that loan names.
 fn choose_rosters(state: &LimitState, to: &VmId) -> Vec<u64> {
     let mut rosters = vec![state.rights.current];
-    if state.settings.has(LimitMutation::ForgetEarlierRoster) {
+    if state.settings.has(LimitMutation::IgnoreEarlierLoans) {
         return rosters;
     }
     for loan in &state.rights.lent {
@@ -175,8 +177,9 @@
     rosters
 }
 
-/// Returns the capacity that running requests still need, by account.
-fn keep_for_running(
+/// Returns the capacity that running requests and token loans still need, by
+/// account.
+fn capacity_of_running(
     state: &mut LimitState,
     lent: &LentParts,
     now: LocalTime,
@@ -187,7 +190,7 @@
         if bucket.held() + bucket.lent() == TokenCount::ZERO || !lent.covers(account) {
             continue;
         }
-        account.settle(now, &state.settings);
+        account.advance(now, &state.settings);
         let bucket = &account.bucket;
         let needed = (bucket.held() + bucket.lent()).min(bucket.slice());
         if needed > TokenCount::ZERO {
@@ -197,7 +200,7 @@
     kept
 }
 
-fn record(state: &mut LimitState, lent: LentParts, now: LocalTime) {
+fn record_loan(state: &mut LimitState, lent: LentParts, now: LocalTime) {
     let previous = state
         .rights
         .lent
@@ -205,9 +208,9 @@
         .find(|loan| loan.borrower == lent.borrower && loan.rosters == lent.rosters);
     if let Some(previous) = previous
         && previous.kept == lent.kept
-        && previous.step.incarnation == lent.step.incarnation
+        && previous.number.incarnation == lent.number.incarnation
     {
-        previous.step = lent.step;
+        previous.number = lent.number;
         previous.deadline = previous.deadline.max(lent.deadline);
         return;
     }
@@ -218,14 +221,14 @@
     let probe = LentParts {
         borrower,
         rosters,
-        step: state.rights.lent[index].step,
+        number: state.rights.lent[index].number,
         kept: BTreeMap::new(),
         deadline: now,
     };
     state.resize_where(now, |account| probe.covers(account));
 }
 
-/// Takes a loan of another VM's parts into use.
+/// Starts to use a loan of another VM's parts.
 pub(super) fn take_loan(
     state: &mut LimitState,
     from: &VmId,
@@ -243,21 +246,21 @@
         .collect();
     let rights = &mut state.rights;
     if let Some(current) = rights.borrowed.get_mut(from) {
-        if current.step.counter >= loan.step.counter {
+        if current.number.counter >= loan.number.counter {
             return;
         }
         let is_same = current.rosters == loan.rosters
             && current.fraction == loan.fraction
             && current.kept == kept;
         if is_same {
-            current.step = loan.step;
+            current.number = loan.number;
             current.deadline = deadline;
             return;
         }
     }
     let is_transitional = loan.rosters.len() > 1 || !kept.is_empty();
     let fresh = BorrowedParts {
-        step: loan.step,
+        number: loan.number,
         rosters: loan.rosters,
         fraction: loan.fraction,
         kept,
@@ -269,10 +272,10 @@
     defer_confirmation(state, from, former.as_ref(), now);
     resize_covered(state, from, former.as_ref(), &vm, now);
     if is_transitional {
-        poll::hasten(state, from, now);
+        poll::retry_soon(state, from, now);
     }
-    let busy: Vec<AccountId> = state.busy.iter().cloned().collect();
-    for id in busy {
+    let waiting_accounts: Vec<AccountId> = state.waiting_accounts.iter().cloned().collect();
+    for id in waiting_accounts {
         super::serve::serve_at(state, &id, now, outbox);
     }
 }
@@ -283,10 +286,10 @@
     loan: &PartLoan,
     now: LocalTime,
 ) -> Option<LocalTime> {
-    if loan.step.incarnation != state.incarnation {
+    if loan.number.incarnation != state.incarnation {
         return None;
     }
-    let sent = state.polls.get(from)?.sent_at(loan.step)?;
+    let sent = state.polls.get(from)?.sent_at(loan.number)?;
     let start = if state.settings.has(LimitMutation::CountFromReceipt) {
         now
     } else {
@@ -296,8 +299,8 @@
     (deadline > now).then_some(deadline)
 }
 
-/// Delays the confirmation of a narrower loan until the lots that the wider
-/// one backs have lapsed.
+/// Delays the confirmation of a narrower loan until the token loans that the
+/// wider one backs have expired.
 fn defer_confirmation(
     state: &mut LimitState,
     from: &VmId,
@@ -314,13 +317,13 @@
     let is_dropped = |account: &&AccountState| {
         former.covers(&rights.vm, account) && !fresh.covers(&rights.vm, account)
     };
-    let lapse = state
+    let expiry = state
         .accounts
         .values()
         .filter(is_dropped)
         .flat_map(|account| account.lent.values().map(|channel| channel.deadline))
         .max();
-    fresh.confirm_at = former.confirm_at.max(lapse.unwrap_or(now));
+    fresh.confirm_at = former.confirm_at.max(expiry.unwrap_or(now));
 }
 
 fn resize_covered(
@@ -337,7 +340,7 @@
     let is_covered = |account: &AccountState| {
         let is_new = rosters
             .iter()
-            .all(|roster| account.homes.get(roster) == Some(vm));
+            .all(|roster| account.owners.get(roster) == Some(vm));
         is_new || former.is_some_and(|loan| loan.covers(vm, account))
     };
     state.resize_where(now, is_covered);
--- a/crates/clementinepond_decide/src/limit/peer.rs
+++ b/crates/clementinepond_decide/src/limit/peer.rs
@@ -1,43 +1,45 @@
-//! Whether other VMs answer.
+//! Tracks which other VMs answer.
 
 use super::settings::LimitSettings;
 use clementinepond_types::{LocalTime, VmId};
 use std::collections::BTreeMap;
 
-/// Questions to one VM that wait for an answer.
+/// Unanswered requests to one VM.
 #[derive(Debug, Default)]
 struct PeerWait {
+    /// Time of the first request since the VM was last in contact.
     since: Option<LocalTime>,
+    /// Earliest time of the next request when the VM is unreachable.
     probe_at: LocalTime,
 }
 
-/// Answers that are awaited from other VMs.
+/// Unanswered requests by VM.
 #[derive(Debug, Default)]
 pub(super) struct PeerTable {
     peers: BTreeMap<VmId, PeerWait>,
 }
 
 impl PeerTable {
-    /// Notes that a VM was asked something.
-    pub(super) fn asked(&mut self, peer: &VmId, now: LocalTime, settings: &LimitSettings) {
+    /// Records that a VM was sent a request.
+    pub(super) fn record_request(&mut self, peer: &VmId, now: LocalTime, settings: &LimitSettings) {
         let wait = self.peers.entry(peer.clone()).or_default();
         wait.since.get_or_insert(now);
         wait.probe_at = now + settings.probe_interval;
     }
 
-    /// Notes that a VM answered or asked.
-    pub(super) fn heard(&mut self, peer: &VmId) {
+    /// Records that a message from a VM arrived.
+    pub(super) fn record_contact(&mut self, peer: &VmId) {
         if let Some(wait) = self.peers.get_mut(peer) {
             wait.since = None;
         }
     }
 
-    /// Forgets VMs that are not in `keep`.
+    /// Removes VMs for which `keep` returns `false`.
     pub(super) fn retain(&mut self, keep: impl Fn(&VmId) -> bool) {
         self.peers.retain(|peer, _| keep(peer));
     }
 
-    /// Returns whether a VM answers, as far as is known.
+    /// Returns whether a VM has no request unanswered for the peer timeout.
     pub(super) fn is_reachable(
         &self,
         peer: &VmId,
@@ -50,8 +52,14 @@
             .is_none_or(|since| now < since + settings.peer_timeout)
     }
 
-    /// Returns whether a VM may be asked: it answers, or a probe is due.
-    pub(super) fn is_askable(&self, peer: &VmId, now: LocalTime, settings: &LimitSettings) -> bool {
+    /// Returns whether a VM may be sent a request: it is reachable, or a probe
+    /// is due.
+    pub(super) fn may_contact(
+        &self,
+        peer: &VmId,
+        now: LocalTime,
+        settings: &LimitSettings,
+    ) -> bool {
         let is_due = |wait: &PeerWait| wait.probe_at <= now;
         self.is_reachable(peer, now, settings) || self.peers.get(peer).is_some_and(is_due)
     }
--- a/crates/clementinepond_decide/src/limit/periodic.rs
+++ b/crates/clementinepond_decide/src/limit/periodic.rs
@@ -1,4 +1,4 @@
-//! Periodic work: polls, waiting requests, returns and renewals of lots.
+//! Periodic work: polls, waiting requests, returns and renewals of token loans.
 
 use super::account::AccountState;
 use super::outbox::EffectOutbox;
@@ -10,82 +10,83 @@
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Share of a channel that is worth a return of its own.
-const RETURN_PARTS: u64 = 1;
-/// Whole of that share.
-const RETURN_WHOLE: u64 = 2;
+/// Smallest share of a channel's outstanding capacity that is returned before
+/// half of the loan's lifetime has passed: numerator.
+const RETURN_SHARE_NUMERATOR: u64 = 1;
+/// Denominator of that share.
+const RETURN_SHARE_DENOMINATOR: u64 = 2;
 
-/// Does what is due.
+/// Runs the periodic work that is due.
 pub(super) fn tick(state: &mut LimitState, now: LocalTime, outbox: &mut EffectOutbox) {
     poll::due(state, now, outbox);
-    let busy: Vec<AccountId> = state.busy.iter().cloned().collect();
-    for id in busy {
+    let waiting_accounts: Vec<AccountId> = state.waiting_accounts.iter().cloned().collect();
+    for id in waiting_accounts {
         serve::serve_at(state, &id, now, outbox);
     }
     if state.report_at <= now {
         state.report_at = now + state.settings.report_interval;
         report_all(state, now, outbox);
     }
-    if state.releasing && is_free(state) {
+    if state.releasing && may_release(state) {
         outbox.released();
     }
 }
 
 fn report_all(state: &mut LimitState, now: LocalTime, outbox: &mut EffectOutbox) {
-    let half = state.lot_span().fraction(1, 2);
+    let half = state.token_loan_lifetime().fraction(1, 2);
     let ids: Vec<AccountId> = state.channels.iter().cloned().collect();
     for id in ids {
         let Some(account) = state.accounts.get_mut(&id) else {
             continue;
         };
-        account.settle(now, &state.settings);
-        drop_abandoned(account, now, &state.settings);
+        account.advance(now, &state.settings);
+        drop_unanswered(account, now, &state.settings);
         let most = returnable(&id, account, &state.rights, &state.settings);
         let due = return_unused(account, &most, half, now);
-        if account.is_quiet() {
+        if account.has_no_channels() {
             state.channels.remove(&id);
         }
         for (peer, is_answered) in due {
             if is_answered {
-                state.peers.asked(&peer, now, &state.settings);
+                state.peers.record_request(&peer, now, &state.settings);
             }
             outbox.report(&peer, &id);
         }
     }
 }
 
-fn drop_abandoned(account: &mut AccountState, now: LocalTime, settings: &LimitSettings) {
+fn drop_unanswered(account: &mut AccountState, now: LocalTime, settings: &LimitSettings) {
     account
         .borrowed
-        .retain(|_, channel| !channel.is_abandoned(now, settings.lot_span));
+        .retain(|_, channel| !channel.is_unanswered(now, settings.lot_span));
 }
 
-/// Returns how much capacity each channel may give back without leaving
-/// lots that this VM has lent unbacked.
+/// Returns how much capacity each channel may return without leaving token
+/// loans of this VM to others unbacked.
 fn returnable(
     id: &AccountId,
     account: &AccountState,
     rights: &PartRights,
     settings: &LimitSettings,
 ) -> BTreeMap<VmId, TokenCount> {
-    let lapse = account.lent.values().map(|channel| channel.deadline).max();
+    let expiry = account.lent.values().map(|channel| channel.deadline).max();
     let lent = account.bucket.lent();
     account
         .borrowed
         .iter()
         .map(|(peer, channel)| {
-            let (Some(lapse), Some(deadline)) = (lapse, channel.deadline()) else {
+            let (Some(expiry), Some(deadline)) = (expiry, channel.deadline()) else {
                 return (peer.clone(), channel.outstanding());
             };
-            let moment = lapse.min(deadline);
-            let assured = rights.assured_amount(id, account, moment, settings);
+            let time = expiry.min(deadline);
+            let assured = rights.assured_amount(id, account, time, settings);
             (peer.clone(), assured.saturating_sub(lent))
         })
         .collect()
 }
 
-/// Returns unused capacity and tokens; lists the VMs to report to, and
-/// whether each of them will answer.
+/// Returns unused capacity and tokens; lists the VMs to report to, and whether
+/// each of them will answer.
 fn return_unused(
     account: &mut AccountState,
     most: &BTreeMap<VmId, TokenCount>,
@@ -99,7 +100,7 @@
     for (peer, channel) in &mut account.borrowed {
         let most = most.get(peer).copied().unwrap_or_default();
         let left = most.saturating_sub(returned);
-        let capacity = channel.outstanding().min(bucket.room()).min(left);
+        let capacity = channel.outstanding().min(bucket.free_capacity()).min(left);
         let level = if is_idle {
             bucket
                 .level()
@@ -113,11 +114,14 @@
             .is_some_and(|deadline| now.until(deadline) < half);
         let back = capacity + level;
         let is_worthwhile = back > TokenCount::ZERO
-            && back >= channel.outstanding().fraction(RETURN_PARTS, RETURN_WHOLE);
+            && back
+                >= channel
+                    .outstanding()
+                    .fraction(RETURN_SHARE_NUMERATOR, RETURN_SHARE_DENOMINATOR);
         if is_worthwhile || is_ageing {
             returned += back;
-            channel.give_back(back, level);
-            bucket.give_up(back, level);
+            channel.record_return(back, level);
+            bucket.return_borrowed(back, level);
         }
         let is_lasting = channel.outstanding() > TokenCount::ZERO;
         if is_worthwhile || (is_lasting && is_ageing) {
@@ -127,8 +131,8 @@
     due
 }
 
-/// Returns whether nothing of this VM is in other hands, or theirs in its.
-fn is_free(state: &LimitState) -> bool {
+/// Returns whether this VM has no running or waiting request and lends nothing.
+fn may_release(state: &LimitState) -> bool {
     let is_settled = |account: &AccountState| account.lent.is_empty() && account.queue.is_empty();
     let is_waited = state.is_started() || state.settings.has(LimitMutation::ReleaseEarly);
     is_waited
--- a/crates/clementinepond_decide/src/limit/poll.rs
+++ b/crates/clementinepond_decide/src/limit/poll.rs
@@ -1,12 +1,12 @@
-//! Polls of a home for the parts of the other members.
+//! Polls for part loans from the other members.
 
-use super::message::{LoanPoll, LoanStep};
+use super::message::{LoanPoll, PollNumber};
 use super::outbox::EffectOutbox;
 use super::settings::LimitMutation;
 use super::state::LimitState;
 use clementinepond_types::{LocalTime, VmId};
 
-/// Asks every other member for its parts.
+/// Polls every other member for its parts.
 pub(super) fn all(state: &mut LimitState, now: LocalTime, outbox: &mut EffectOutbox) {
     let vms: Vec<VmId> = state.polls.keys().cloned().collect();
     for vm in vms {
@@ -14,7 +14,7 @@
     }
 }
 
-/// Asks the members whose poll is due.
+/// Polls the members whose next poll is due.
 pub(super) fn due(state: &mut LimitState, now: LocalTime, outbox: &mut EffectOutbox) {
     let due: Vec<VmId> = state
         .polls
@@ -37,29 +37,36 @@
     };
     poll.next_at = now + interval;
     let poll = LoanPoll {
-        step: poll.next_step(state.incarnation, now),
-        using: confirmed_step(state, vm, now),
+        number: poll.next_number(state.incarnation, now),
+        using: confirmed_number(state, vm, now),
     };
     outbox.poll(vm, poll);
 }
 
-/// Returns the loan in use, once nothing depends on an earlier one.
-fn confirmed_step(state: &LimitState, vm: &VmId, now: LocalTime) -> Option<LoanStep> {
+/// Returns the poll whose loan is in use, once nothing depends on an earlier
+/// loan.
+fn confirmed_number(state: &LimitState, vm: &VmId, now: LocalTime) -> Option<PollNumber> {
     let loan = state.rights.borrowed.get(vm)?;
     let is_confirmed = loan.confirm_at <= now || state.settings.has(LimitMutation::ConfirmEarly);
-    is_confirmed.then_some(loan.step)
+    is_confirmed.then_some(loan.number)
 }
 
-/// Sends this VM's own poll along with a loan when it is due soon.
-pub(super) fn along(state: &mut LimitState, vm: &VmId, now: LocalTime, outbox: &mut EffectOutbox) {
+/// Sends this VM's own poll in the message with a loan when it is due within
+/// half a poll interval.
+pub(super) fn piggyback(
+    state: &mut LimitState,
+    vm: &VmId,
+    now: LocalTime,
+    outbox: &mut EffectOutbox,
+) {
     let soon = now + state.poll_interval().fraction(1, 2);
     if state.polls.get(vm).is_some_and(|poll| poll.next_at <= soon) {
         poll(state, vm, now, outbox);
     }
 }
 
-/// Polls again soon, so that the lender can widen its loan.
-pub(super) fn hasten(state: &mut LimitState, vm: &VmId, now: LocalTime) {
+/// Schedules the next poll early, so that the lender can widen its loan.
+pub(super) fn retry_soon(state: &mut LimitState, vm: &VmId, now: LocalTime) {
     let soon = now + state.settings.retry_interval;
     if let Some(poll) = state.polls.get_mut(vm) {
         poll.next_at = poll.next_at.min(soon);
--- a/crates/clementinepond_decide/src/limit/reduce.rs
+++ b/crates/clementinepond_decide/src/limit/reduce.rs
@@ -1,25 +1,25 @@
-//! The reducer: from one event to effects.
+//! Reducer of the limits.
 
 use super::admit;
 use super::event::PartFraction;
 use super::event::{AccountTable, LimitEvent, RosterView};
-use super::home::MemberList;
-use super::lot_exchange;
 use super::message::LimitMessage;
 use super::outbox::EffectOutbox;
+use super::owner::MemberList;
 use super::periodic;
 use super::serve;
 use super::settings::LimitMutation;
 use super::state::{LimitState, StartWait};
-use super::{effect::LimitEffect, loan, poll};
+use super::token_loan_exchange;
+use super::{effect::LimitEffect, part_loan, poll};
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 
-/// Handles one event at `now` on the local clock.
+/// Handles one event at `now` on the local clock and returns its effects.
 pub fn reduce(state: &mut LimitState, event: LimitEvent, now: LocalTime) -> Vec<LimitEffect> {
     let mut outbox = EffectOutbox::default();
-    loan::lapse(state, now);
+    part_loan::expire(state, now);
     match event {
-        LimitEvent::Ask(ask) => admit::ask(state, ask, now, &mut outbox),
+        LimitEvent::Request(request) => admit::request(state, request, now, &mut outbox),
         LimitEvent::Started { ticket } => admit::started(state, ticket),
         LimitEvent::Progress { ticket, generated } => admit::progress(state, ticket, generated),
         LimitEvent::Settle { ticket, used } => {
@@ -39,12 +39,13 @@
     outbox.flush(state, now)
 }
 
-/// Stops lending; an earlier process of this VM may have lent before.
+/// Stops lending. Without a roster so far, starts the wait for grants of an
+/// earlier process of this VM.
 fn release(state: &mut LimitState, now: LocalTime) {
     state.releasing = true;
     if state.start_wait == StartWait::Unknown {
         let members = state.rights.members().map_or(1, MemberList::len);
-        let wait = state.settings.longest_grant(members);
+        let wait = state.settings.longest_grant_lifetime(members);
         state.start_wait = StartWait::Until(now + wait);
     }
 }
@@ -56,18 +57,18 @@
     now: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
-    state.peers.heard(from);
+    state.peers.record_contact(from);
     if let Some(poll) = message.poll {
-        loan::answer_poll(state, from, &poll, now, outbox);
+        part_loan::answer_poll(state, from, &poll, now, outbox);
     }
     if let Some(loan) = message.loan {
-        loan::take_loan(state, from, loan, now, outbox);
+        part_loan::take_loan(state, from, loan, now, outbox);
     }
     for report in message.reports {
-        lot_exchange::take_report(state, from, report, now, outbox);
+        token_loan_exchange::take_report(state, from, report, now, outbox);
     }
     for grant in message.grants {
-        lot_exchange::take_grant(state, from, &grant, now, outbox);
+        token_loan_exchange::take_grant(state, from, &grant, now, outbox);
     }
 }
 
@@ -89,7 +90,7 @@
         .collect();
     let list = MemberList::new(&view.members);
     if state.start_wait == StartWait::Unknown {
-        let mut wait = state.settings.longest_grant(list.len());
+        let mut wait = state.settings.longest_grant_lifetime(list.len());
         if state.settings.has(LimitMutation::SkipStartWait) {
             wait = TimeSpan::ZERO;
         }
@@ -99,7 +100,7 @@
     state.rights.current = list.digest();
     state.rights.rosters.insert(list.digest(), list);
     if is_moved {
-        loan::relocate(state);
+        part_loan::reassign_owners(state);
         poll::all(state, now, outbox);
     }
     state.resize_where(now, |_| true);
@@ -119,7 +120,7 @@
     }
     state.table_version = Some(table.version);
     for (id, account) in &mut state.accounts {
-        account.settle(now, &state.settings);
+        account.advance(now, &state.settings);
         account.limit = table.limits.get(id).copied();
     }
     for (id, limit) in table.limits {
@@ -131,8 +132,8 @@
         account.limit = Some(limit);
     }
     state.resize_where(now, |_| true);
-    let busy: Vec<AccountId> = state.busy.iter().cloned().collect();
-    for id in busy {
+    let waiting_accounts: Vec<AccountId> = state.waiting_accounts.iter().cloned().collect();
+    for id in waiting_accounts {
         serve::serve(state, &id, now, outbox);
     }
 }
--- a/crates/clementinepond_decide/src/limit/reservation.rs
+++ b/crates/clementinepond_decide/src/limit/reservation.rs
@@ -3,7 +3,7 @@
 use super::account::QueueKey;
 use clementinepond_types::{AccountId, TokenCount};
 
-/// Admission in one state of its life.
+/// Admission in life cycle state `S`.
 #[derive(Debug)]
 pub(super) struct Ticket<S> {
     pub(super) account: AccountId,
@@ -12,13 +12,13 @@
     pub(super) state: S,
 }
 
-/// The request waits for tokens.
+/// State of a request that waits for tokens.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) key: QueueKey,
 }
 
-/// The request is admitted and its tokens are reserved.
+/// State of a request whose tokens are reserved.
 #[derive(Debug)]
 pub(super) struct Admitted {
     spent: TokenCount,
@@ -44,7 +44,7 @@
 }
 
 impl Ticket<Admitted> {
-    /// Raises the spent total; returns what is newly spent of the reservation.
+    /// Raises the spent total to at most the cost; returns the increase.
     pub(super) fn spend_up_to(&mut self, total: TokenCount) -> TokenCount {
         let total = total.min(self.cost());
         let spent = total.saturating_sub(self.state.spent);
@@ -52,7 +52,7 @@
         spent
     }
 
-    /// Returns reserved tokens that are not spent.
+    /// Returns the reserved tokens that are not spent.
     pub(super) fn unspent(&self) -> TokenCount {
         self.cost().saturating_sub(self.state.spent)
     }
@@ -61,8 +61,8 @@
 /// Admission in any state.
 #[derive(Debug)]
 pub(super) enum TicketState {
-    /// Waiting for tokens.
+    /// Waits for tokens.
     Waiting(Ticket<Waiting>),
-    /// Admitted.
+    /// Has reserved its tokens.
     Admitted(Ticket<Admitted>),
 }
--- a/crates/clementinepond_decide/src/limit/serve.rs
+++ b/crates/clementinepond_decide/src/limit/serve.rs
@@ -1,24 +1,25 @@
-//! Handing tokens to waiting requests, in the order of the queue.
+//! Grants tokens to waiting requests in queue order.
 //!
-//! A request that cannot be admitted before its deadline, as far as this VM
-//! and the VMs that it asked can know, is refused at once.
+//! A request that cannot be admitted before its deadline, as far as this VM and
+//! the VMs that answered it can know, is refused at once.
 
 use super::account::{AccountState, Claimant, QueueEntry, QueueKey};
 use super::effect::RefusalReason;
-use super::message::{ItemDenial, LevelHint};
+use super::message::{LevelHint, RequestDenial};
 use super::outbox::EffectOutbox;
 use super::reservation::TicketState;
 use super::settings::{LimitMutation, LimitSettings};
 use super::state::LimitState;
-use super::upstream::{self, KnownReach};
+use super::upstream::{self, ReachableTokens};
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount};
 
-/// Shortest `Retry-After`.
-const RETRY_FLOOR: TimeSpan = TimeSpan::from_millis(100);
+/// Lower bound of `Retry-After`.
+const MIN_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(100);
 
-/// Admits what the bucket allows, refuses what is hopeless and asks others.
+/// Admits what the bucket allows, refuses what cannot be served in time and
+/// requests missing tokens from other VMs.
 ///
-/// The account must be settled as of `now`.
+/// The account must have been advanced to `now`.
 pub(super) fn serve(
     state: &mut LimitState,
     id: &AccountId,
@@ -27,21 +28,21 @@
 ) {
     refuse_withdrawn(state, id, outbox);
     refuse_expired(state, id, now, outbox);
-    give_in_order(state, id, now, outbox);
-    upstream::ask(state, id, now, outbox);
-    refuse_hopeless(state, id, now, outbox);
-    let is_busy = state
+    grant_in_order(state, id, now, outbox);
+    upstream::request_tokens(state, id, now, outbox);
+    refuse_unservable(state, id, now, outbox);
+    let is_waiting = state
         .accounts
         .get(id)
         .is_some_and(|account| !account.queue.is_empty());
-    if is_busy {
-        state.busy.insert(id.clone());
+    if is_waiting {
+        state.waiting_accounts.insert(id.clone());
     } else {
-        state.busy.remove(id);
+        state.waiting_accounts.remove(id);
     }
 }
 
-/// Settles an account and serves it.
+/// Advances an account to `now` and serves its queue.
 pub(super) fn serve_at(
     state: &mut LimitState,
     id: &AccountId,
@@ -49,12 +50,12 @@
     outbox: &mut EffectOutbox,
 ) {
     if let Some(account) = state.accounts.get_mut(id) {
-        account.settle(now, &state.settings);
+        account.advance(now, &state.settings);
     }
     serve(state, id, now, outbox);
 }
 
-fn give_in_order(
+fn grant_in_order(
     state: &mut LimitState,
     id: &AccountId,
     now: LocalTime,
@@ -67,11 +68,12 @@
         let Some((_, entry)) = account.queue.pop_first() else {
             return;
         };
-        give(state, id, entry, deadline, outbox);
+        grant_tokens(state, id, entry, deadline, outbox);
     }
 }
 
-/// Returns how long an admission of the first entry would last, if possible.
+/// Returns the deadline that an admission of the first entry would have, or
+/// `None` when it must wait.
 fn head_deadline(state: &LimitState, id: &AccountId, now: LocalTime) -> Option<LocalTime> {
     let settings = &state.settings;
     let account = state.accounts.get(id)?;
@@ -82,7 +84,7 @@
     if let Claimant::Remote { vm, channel, .. } = &entry.claimant {
         let key = (vm.clone(), *channel);
         return match account.lent.contains_key(&key) {
-            true => state.lot_deadline(id, &key, entry.cost, now),
+            true => state.token_loan_deadline(id, &key, entry.cost, now),
             false => Some(now),
         };
     }
@@ -94,14 +96,14 @@
     (assured > now).then(|| assured.min(horizon))
 }
 
-fn give(
+fn grant_tokens(
     state: &mut LimitState,
     id: &AccountId,
     entry: QueueEntry,
     deadline: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
-    let is_held = !state.settings.has(LimitMutation::ForgetHolds);
+    let is_held = !state.settings.has(LimitMutation::ReserveWithoutHold);
     let with_capacity = !state.settings.has(LimitMutation::LendWithoutCapacity);
     let Some(account) = state.accounts.get_mut(id) else {
         return;
@@ -157,7 +159,7 @@
     if !account.queue.values().any(|entry| is_expired(&entry)) {
         return;
     }
-    let reach = upstream::known_reach(state, account, now);
+    let reachable = upstream::reachable_tokens(state, account, now);
     let keys: Vec<QueueKey> = account
         .queue
         .iter()
@@ -165,12 +167,12 @@
         .map(|(key, _)| *key)
         .collect();
     for key in keys {
-        let wait = estimate_wait(state, id, &key, &reach);
-        take_out(state, id, &key, RefusalReason::OverRate, wait, outbox);
+        let wait = estimate_wait(state, id, &key, &reachable);
+        remove_and_refuse(state, id, &key, RefusalReason::OverRate, wait, outbox);
     }
 }
 
-fn refuse_hopeless(
+fn refuse_unservable(
     state: &mut LimitState,
     id: &AccountId,
     now: LocalTime,
@@ -182,45 +184,46 @@
     if account.queue.is_empty() {
         return;
     }
-    let reach = upstream::known_reach(state, account, now);
-    if !reach.is_complete {
+    let reachable = upstream::reachable_tokens(state, account, now);
+    if !reachable.is_complete {
         return;
     }
-    for (key, reason) in find_hopeless(account, &reach.total, now, &state.settings) {
-        let wait = estimate_wait(state, id, &key, &reach);
-        take_out(state, id, &key, reason, wait, outbox);
+    for (key, reason) in find_unservable(account, &reachable.total, now, &state.settings) {
+        let wait = estimate_wait(state, id, &key, &reachable);
+        remove_and_refuse(state, id, &key, reason, wait, outbox);
     }
 }
 
-fn find_hopeless(
+fn find_unservable(
     account: &AccountState,
     total: &LevelHint,
     now: LocalTime,
     settings: &LimitSettings,
 ) -> Vec<(QueueKey, RefusalReason)> {
     let mut needed = TokenCount::ZERO;
-    let mut hopeless = Vec::new();
+    let mut unservable = Vec::new();
     let slack = settings.retry_interval;
     for (key, entry) in &account.queue {
         let time_left = now.until(entry.deadline) + slack;
         let most = total.level + total.rate.accrue(time_left);
         if entry.cost > total.capacity {
-            hopeless.push((*key, RefusalReason::OutOfReach));
+            unservable.push((*key, RefusalReason::OutOfReach));
         } else if needed + entry.cost > most {
-            hopeless.push((*key, RefusalReason::OverRate));
+            unservable.push((*key, RefusalReason::OverRate));
         } else {
             needed += entry.cost;
         }
     }
-    hopeless
+    unservable
 }
 
-/// Works out when the request could be admitted behind those before it.
+/// Estimates the time until the request could be admitted after those ahead of
+/// it.
 fn estimate_wait(
     state: &LimitState,
     id: &AccountId,
     key: &QueueKey,
-    reach: &KnownReach,
+    reachable: &ReachableTokens,
 ) -> TimeSpan {
     let unknown = state.settings.unknown_retry;
     let Some(account) = state.accounts.get(id) else {
@@ -234,15 +237,15 @@
         .range(..key)
         .map(|(_, entry)| entry.cost)
         .sum();
-    let missing = (ahead + entry.cost).saturating_sub(reach.total.level);
-    let is_known = reach.is_complete && entry.cost <= reach.total.capacity;
-    match reach.total.rate.time_for(missing) {
-        Some(wait) if is_known => wait.max(RETRY_FLOOR),
+    let missing = (ahead + entry.cost).saturating_sub(reachable.total.level);
+    let is_known = reachable.is_complete && entry.cost <= reachable.total.capacity;
+    match reachable.total.rate.time_for(missing) {
+        Some(wait) if is_known => wait.max(MIN_RETRY_AFTER),
         _ => unknown,
     }
 }
 
-fn take_out(
+fn remove_and_refuse(
     state: &mut LimitState,
     id: &AccountId,
     key: &QueueKey,
@@ -258,7 +261,7 @@
     }
 }
 
-/// Refuses one entry that was taken out of the queue.
+/// Refuses an entry that was removed from the queue.
 pub(super) fn refuse(
     state: &mut LimitState,
     id: &AccountId,
@@ -281,7 +284,7 @@
             if let Some(lent) = account.and_then(|a| a.lent.get_mut(&(vm.clone(), channel))) {
                 lent.decided.insert(ticket);
             }
-            let denial = ItemDenial {
+            let denial = RequestDenial {
                 ticket,
                 reason,
                 retry_after: wait.unwrap_or(state.settings.unknown_retry),
--- a/crates/clementinepond_decide/src/limit/settings.rs
+++ b/crates/clementinepond_decide/src/limit/settings.rs
@@ -3,51 +3,55 @@
 use clementinepond_types::{TimeSpan, TokenRate};
 use serde::{Deserialize, Serialize};
 
-/// One million, the whole of a drift bound.
+/// Parts per million in a whole.
 const MILLION: u64 = 1_000_000;
 
-/// Share of the members that may have left since a grant, as a divisor.
+/// Divisor of the member count; the quotient is how many members may have left
+/// since a grant was made.
 const SHRINK_MARGIN: usize = 4;
 
-/// Guard that a test removes to show that it is needed.
+/// Safety check that a test disables to show that it is needed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LimitMutation {
-    /// Every guard in place.
+    /// All checks are enabled.
     #[default]
     None,
-    /// A lapsed lot stays usable at its borrower.
-    KeepLapsedLots,
-    /// A lapsed part loan stays usable at its borrower.
-    KeepLapsedLoans,
-    /// A deadline is counted from the receipt of a grant.
+    /// A borrower keeps using an expired token loan.
+    KeepExpiredTokenLoans,
+    /// A borrower keeps using an expired part loan.
+    KeepExpiredPartLoans,
+    /// A borrower counts a deadline from the receipt of a grant.
     CountFromReceipt,
-    /// A deadline is not shortened by the drift of clocks.
+    /// Deadlines and rates are not reduced for clock drift.
     IgnoreDrift,
-    /// A lender resumes lent capacity with its tokens.
-    ResumeFull,
+    /// A lender reclaims lent capacity filled with tokens.
+    ReclaimFull,
     /// A lender keeps its capacity while its tokens are lent.
     LendWithoutCapacity,
     /// A reservation does not hold capacity.
-    ForgetHolds,
-    /// A lot outlives the loans that back it.
+    ReserveWithoutHold,
+    /// A token loan may outlive the loans that back it.
     IgnoreBacking,
-    /// A narrower loan is confirmed while lots of the wider one are out.
+    /// A narrower loan is confirmed while token loans backed by the wider one
+    /// are outstanding.
     ConfirmEarly,
     /// A repeated grant is added again.
     AddRepeatedGrants,
     /// A repeated return is credited again.
     AddRepeatedReturns,
     /// A loan after a roster change ignores the loans made before it.
-    ForgetEarlierRoster,
+    IgnoreEarlierLoans,
     /// A restarted VM uses its slice at once.
     SkipStartWait,
-    /// A restarted VM that leaves does not wait for its earlier grants.
+    /// A restarted VM that shuts down does not wait for its earlier grants to
+    /// expire.
     ReleaseEarly,
-    /// A restarted lender extends what its earlier process lent.
+    /// A borrower accepts grants of a restarted lender in a channel of its
+    /// earlier process.
     TrustRestartedLender,
     /// An older table of accounts replaces a newer one.
     AcceptOlderTable,
-    /// A lender keeps its slice while it is lent.
+    /// A lender keeps using its slice while it is lent.
     KeepLentSlice,
 }
 
@@ -59,31 +63,36 @@
     pub queue_wait: TimeSpan,
     /// Longest time between an admission and its dispatch.
     pub dispatch_wait: TimeSpan,
-    /// Longest life of a part loan; the roster's hold-off rests on it.
+    /// Upper bound of a part loan's lifetime; the roster's hold-off relies on
+    /// it.
     pub grant_limit: TimeSpan,
-    /// Longest life of a lot.
+    /// Upper bound of a token loan's lifetime.
     pub lot_span: TimeSpan,
-    /// Shortest life for which a lot is given.
+    /// Shortest lifetime with which a token loan is granted.
     pub lot_span_floor: TimeSpan,
-    /// Shortest interval between two polls for part loans.
+    /// Shortest interval between two polls for part loans, unless `grant_limit`
+    /// requires a shorter one.
     pub loan_interval: TimeSpan,
-    /// Addition to that interval for each other VM of the data centre.
+    /// Time per other VM of the data centre that bounds that interval from
+    /// below.
     pub loan_interval_per_peer: TimeSpan,
-    /// Intervals that a part loan lives.
+    /// Lifetime of a part loan, in poll intervals.
     pub loan_intervals: u64,
-    /// First wait before an unanswered request to a VM is repeated.
+    /// Time before an unanswered request to a VM is sent again; doubles for
+    /// repeated requests to the owner.
     pub retry_interval: TimeSpan,
-    /// Interval between returns and renewals of lots.
+    /// Interval between returns and renewals of token loans.
     pub report_interval: TimeSpan,
-    /// Silence after which a VM counts as unreachable.
+    /// Time without an answer after which a VM counts as unreachable.
     pub peer_timeout: TimeSpan,
     /// Interval between attempts to reach an unreachable VM.
     pub probe_interval: TimeSpan,
-    /// `Retry-After` when the time of admission cannot be worked out.
+    /// `Retry-After` when the time of admission cannot be estimated.
     pub unknown_retry: TimeSpan,
-    /// Largest difference of a clock's rate from true time, in millionths.
+    /// Largest deviation of a clock's rate from true time, in parts per
+    /// million.
     pub clock_drift_ppm: u64,
-    /// Guard that a test removes.
+    /// Safety check that a test disables.
     #[serde(skip)]
     pub mutation: LimitMutation,
 }
@@ -122,37 +131,38 @@
             .min(longest)
     }
 
-    /// Returns the life of a part loan in a data centre of `members` VMs.
+    /// Returns the lifetime of a part loan in a data centre of `members` VMs.
     #[must_use]
-    pub fn loan_span(&self, members: usize) -> TimeSpan {
+    pub fn part_loan_lifetime(&self, members: usize) -> TimeSpan {
         let interval = self.poll_interval(members).micros();
         TimeSpan::from_micros(interval.saturating_mul(self.loan_intervals))
     }
 
-    /// Returns the life of a lot in a data centre of `members` VMs.
+    /// Returns the lifetime of a token loan in a data centre of `members` VMs.
     ///
-    /// It is shorter than what a part loan that is renewed in time has left,
-    /// so that the loans that back a lot outlive it.
+    /// It is shorter than the time left of a part loan that is renewed in time,
+    /// so that the loans that back a token loan outlive it.
     #[must_use]
-    pub fn lot_span(&self, members: usize) -> TimeSpan {
+    pub fn token_loan_lifetime(&self, members: usize) -> TimeSpan {
         let interval = self.poll_interval(members);
         let renewed = interval.fraction(self.loan_intervals.saturating_sub(1), 1);
-        let sure = renewed.saturating_sub(interval.fraction(1, 10));
-        sure.min(self.lot_span)
+        let guaranteed = renewed.saturating_sub(interval.fraction(1, 10));
+        guaranteed.min(self.lot_span)
     }
 
     /// Returns the time for which any grant may outlive a stopped VM.
     ///
-    /// The roster's hold-off before the parts of a VM move must be longer. A
+    /// The roster's hold-off before the parts of a VM move must be longer. The
     /// data centre may have shrunk by a fifth since the grant was made.
     #[must_use]
-    pub fn longest_grant(&self, members: usize) -> TimeSpan {
+    pub fn longest_grant_lifetime(&self, members: usize) -> TimeSpan {
         let earlier = members.saturating_add(members / SHRINK_MARGIN);
-        let longest = self.loan_span(earlier);
+        let longest = self.part_loan_lifetime(earlier);
         longest + longest.fraction(2 * self.clock_drift_ppm, MILLION)
     }
 
-    /// Shortens a lender's time left to what a borrower may count on.
+    /// Shortens a lender's remaining time by the drift of both clocks, so that
+    /// the borrower's deadline comes first.
     #[must_use]
     pub fn shorten(&self, time_left: TimeSpan) -> TimeSpan {
         if self.has(LimitMutation::IgnoreDrift) {
--- a/crates/clementinepond_decide/src/limit/slice.rs
+++ b/crates/clementinepond_decide/src/limit/slice.rs
@@ -1,24 +1,27 @@
-//! The slice of each account that this VM holds, by parts.
+//! Slices of accounts that this VM holds, by parts.
 //!
-//! A VM's own parts are out of its hands while a loan covers the account.
-//! Loans to different homes made under different rosters share a member
-//! list, under which an account has one home, so that no account is covered
-//! twice.
+//! While a part loan covers an account, the lender does not use its own parts
+//! for it, apart from the capacity that it keeps. Loans to different owners
+//! made under different rosters share a member list, under which an account has
+//! one owner, so that no account is covered twice.
 
 use super::account::AccountState;
 use super::event::{AccountLimit, PartFraction};
-use super::home::MemberList;
-use super::message::LoanStep;
+use super::message::PollNumber;
+use super::owner::MemberList;
 use super::settings::{LimitMutation, LimitSettings};
 use clementinepond_types::{AccountId, LocalTime, TokenCount, TokenRate, VmId};
 use std::collections::BTreeMap;
 
-/// Loan of this VM's parts to a home.
+/// Loan of this VM's parts to an owner.
 #[derive(Debug)]
 pub(super) struct LentParts {
     pub(super) borrower: VmId,
-    pub(super) step: LoanStep,
+    pub(super) number: PollNumber,
+    /// Digests of member lists; the loan covers the accounts that the borrower
+    /// owns under each of them.
     pub(super) rosters: Vec<u64>,
+    /// Capacity that the lender keeps, by account.
     pub(super) kept: BTreeMap<AccountId, TokenCount>,
     pub(super) deadline: LocalTime,
 }
@@ -26,12 +29,13 @@
 /// Loan of another VM's parts to this VM.
 #[derive(Debug)]
 pub(super) struct BorrowedParts {
-    pub(super) step: LoanStep,
+    pub(super) number: PollNumber,
     pub(super) rosters: Vec<u64>,
     pub(super) fraction: PartFraction,
     pub(super) kept: BTreeMap<AccountId, TokenCount>,
     pub(super) deadline: LocalTime,
-    /// Moment from which the lender may be told that earlier loans are over.
+    /// Time from which this VM may confirm to the lender that earlier loans are
+    /// no longer used.
     pub(super) confirm_at: LocalTime,
 }
 
@@ -47,18 +51,20 @@
 pub(super) struct PartRights {
     pub(super) vm: VmId,
     pub(super) fraction: PartFraction,
-    /// Whether grants of an earlier process of this VM have lapsed.
+    /// Whether grants of an earlier process of this VM have expired.
     pub(super) is_usable: bool,
     pub(super) lent: Vec<LentParts>,
     pub(super) borrowed: BTreeMap<VmId, BorrowedParts>,
+    /// Member lists in use, by digest.
     pub(super) rosters: BTreeMap<u64, MemberList>,
+    /// Digest of the current member list.
     pub(super) current: u64,
 }
 
 fn covers(rosters: &[u64], borrower: &VmId, account: &AccountState) -> bool {
     rosters
         .iter()
-        .all(|roster| account.homes.get(roster) == Some(borrower))
+        .all(|roster| account.owners.get(roster) == Some(borrower))
 }
 
 impl LentParts {
@@ -94,21 +100,21 @@
         self.rosters.get(&self.current)
     }
 
-    /// Returns the account's home in this data centre.
-    pub(super) fn home<'a>(&self, account: &'a AccountState) -> Option<&'a VmId> {
-        account.homes.get(&self.current)
+    /// Returns the account's owner in this data centre.
+    pub(super) fn owner<'a>(&self, account: &'a AccountState) -> Option<&'a VmId> {
+        account.owners.get(&self.current)
     }
 
-    /// Works the account's home out under each member list in use.
+    /// Determines the account's owner under each member list in use.
     pub(super) fn locate(&self, account: &mut AccountState) {
-        account.homes = self
+        account.owners = self
             .rosters
             .iter()
-            .filter_map(|(digest, list)| Some((*digest, list.home(account.hash)?.clone())))
+            .filter_map(|(digest, list)| Some((*digest, list.owner(account.hash)?.clone())))
             .collect();
     }
 
-    /// Forgets member lists that no loan refers to.
+    /// Removes member lists that no loan refers to.
     pub(super) fn prune_rosters(&mut self) {
         let lent = self.lent.iter().flat_map(|loan| &loan.rosters);
         let borrowed = self.borrowed.values().flat_map(|loan| &loan.rosters);
@@ -118,7 +124,8 @@
             .retain(|digest, _| *digest == current || used.contains(digest));
     }
 
-    /// Returns the capacity that this VM keeps while its parts are lent.
+    /// Returns the capacity that this VM keeps while its parts are lent; none
+    /// when no loan covers the account.
     fn kept(&self, id: &AccountId, account: &AccountState) -> Option<TokenCount> {
         self.lent
             .iter()
@@ -127,7 +134,8 @@
             .min()
     }
 
-    /// Returns the slice of one account.
+    /// Returns the rate and capacity of one account on this VM, part loans
+    /// included.
     pub(super) fn slice(
         &self,
         id: &AccountId,
@@ -169,10 +177,10 @@
         }
     }
 
-    /// Returns the moment until which `amount` of the capacity is sure.
+    /// Returns the time until which `amount` of the capacity is guaranteed.
     ///
-    /// Returns the clock's origin when the capacity is smaller. Moments after
-    /// `horizon` are not told apart.
+    /// Returns the clock's origin when the capacity is smaller. Times after
+    /// `horizon` need not be exact.
     pub(super) fn assured_until(
         &self,
         id: &AccountId,
@@ -211,12 +219,12 @@
         LocalTime::ORIGIN
     }
 
-    /// Returns the capacity that lasts at least until `moment`.
+    /// Returns the capacity that is guaranteed at least until `time`.
     pub(super) fn assured_amount(
         &self,
         id: &AccountId,
         account: &AccountState,
-        moment: LocalTime,
+        time: LocalTime,
         settings: &LimitSettings,
     ) -> TokenCount {
         let Some(limit) = account.limit else {
@@ -225,7 +233,7 @@
         let (mut fraction, mut tokens) = self.own(id, account, limit, settings);
         let mut withheld = TokenCount::ZERO;
         for piece in self.pieces(id, account) {
-            if piece.deadline >= moment {
+            if piece.deadline >= time {
                 fraction = fraction.plus(piece.fraction);
                 withheld += piece.kept;
                 tokens += piece.tokens;
@@ -234,7 +242,7 @@
         tokens + fraction.of_burst(limit.burst).saturating_sub(withheld)
     }
 
-    /// Lists borrowed capacity, the longest-lived first.
+    /// Lists borrowed capacity, latest deadline first.
     fn pieces(&self, id: &AccountId, account: &AccountState) -> Vec<CapacityPiece> {
         let parts = self
             .borrowed
@@ -246,7 +254,7 @@
                 kept: loan.kept(id),
                 tokens: TokenCount::ZERO,
             });
-        let lots = account.borrowed.values().filter_map(|channel| {
+        let token_loans = account.borrowed.values().filter_map(|channel| {
             Some(CapacityPiece {
                 deadline: channel.deadline()?,
                 fraction: PartFraction::ZERO,
@@ -254,7 +262,7 @@
                 tokens: channel.outstanding(),
             })
         });
-        let mut pieces: Vec<CapacityPiece> = parts.chain(lots).collect();
+        let mut pieces: Vec<CapacityPiece> = parts.chain(token_loans).collect();
         pieces.sort_by_key(|piece| std::cmp::Reverse(piece.deadline));
         pieces
     }
--- a/crates/clementinepond_decide/src/limit/state.rs
+++ b/crates/clementinepond_decide/src/limit/state.rs
@@ -1,10 +1,10 @@
-//! What the limits remember.
+//! State of the limits.
 
 use super::account::AccountState;
 use super::event::TicketId;
-use super::home::MemberList;
-use super::loan;
-use super::message::{ChannelId, LoanStep};
+use super::message::{ChannelId, PollNumber};
+use super::owner::MemberList;
+use super::part_loan;
 use super::peer::PeerTable;
 use super::reservation::TicketState;
 use super::settings::LimitSettings;
@@ -14,10 +14,10 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Polls of which the time of sending is remembered.
-const REMEMBERED_POLLS: usize = 8;
+/// Number of latest polls whose send time is kept.
+const MAX_TRACKED_POLLS: usize = 8;
 
-/// Polls for part loans.
+/// Polls of one member for part loans.
 #[derive(Debug, Default)]
 pub(super) struct PollState {
     pub(super) next_at: LocalTime,
@@ -26,55 +26,55 @@
 }
 
 impl PollState {
-    /// Numbers the next poll and remembers when it was sent.
-    pub(super) fn next_step(&mut self, incarnation: u32, now: LocalTime) -> LoanStep {
+    /// Numbers the next poll and records its send time.
+    pub(super) fn next_number(&mut self, incarnation: u32, now: LocalTime) -> PollNumber {
         self.counter = self.counter.saturating_add(1);
-        if self.sent.len() == REMEMBERED_POLLS {
+        if self.sent.len() == MAX_TRACKED_POLLS {
             self.sent.pop_front();
         }
         self.sent.push_back((self.counter, now));
-        LoanStep {
+        PollNumber {
             incarnation,
             counter: self.counter,
         }
     }
 
-    /// Returns when a poll was sent.
-    pub(super) fn sent_at(&self, step: LoanStep) -> Option<LocalTime> {
+    /// Returns when a poll was sent; none when that is no longer kept.
+    pub(super) fn sent_at(&self, number: PollNumber) -> Option<LocalTime> {
         self.sent
             .iter()
-            .find(|(counter, _)| *counter == step.counter)
+            .find(|(counter, _)| *counter == number.counter)
             .map(|(_, sent)| *sent)
     }
 }
 
-/// How long the slice of a started VM stays unused.
+/// Wait of a started VM before it uses its slice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartWait {
-    /// No roster was seen yet.
+    /// Not known yet, since no roster has arrived.
     Unknown,
-    /// Until grants of an earlier process of the same name have lapsed.
+    /// Lasts until grants of an earlier process of the same name have expired.
     Until(LocalTime),
-    /// Over.
+    /// Has ended.
     Over,
 }
 
-/// What one account has on this VM.
+/// Tokens and capacity of one account on this VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccountStatus {
-    /// Tokens at hand.
+    /// Tokens available.
     pub level: TokenCount,
     /// Refill rate of the slice.
     pub rate: TokenRate,
-    /// Capacity, borrowed included and lent excluded.
+    /// Capacity with borrowed and without lent capacity.
     pub capacity: TokenCount,
     /// Capacity held by running requests.
     pub held: TokenCount,
-    /// Capacity borrowed in lots.
+    /// Capacity borrowed in token loans.
     pub borrowed: TokenCount,
-    /// Capacity lent in lots.
+    /// Capacity lent in token loans.
     pub lent: TokenCount,
-    /// Requests that wait.
+    /// Number of waiting requests, those of other VMs included.
     pub waiting: usize,
 }
 
@@ -87,20 +87,24 @@
     pub(super) table_version: Option<ObjectVersion>,
     pub(super) rights: PartRights,
     pub(super) start_wait: StartWait,
+    /// Members of each other data centre.
     pub(super) remote: Vec<MemberList>,
     pub(super) accounts: BTreeMap<AccountId, AccountState>,
     pub(super) tickets: BTreeMap<TicketId, TicketState>,
-    pub(super) busy: BTreeSet<AccountId>,
+    /// Accounts with waiting requests.
+    pub(super) waiting_accounts: BTreeSet<AccountId>,
+    /// Accounts with token loan channels.
     pub(super) channels: BTreeSet<AccountId>,
     pub(super) peers: PeerTable,
     pub(super) polls: BTreeMap<VmId, PollState>,
+    /// Time of the next returns and renewals of token loans.
     pub(super) report_at: LocalTime,
     pub(super) releasing: bool,
     next_channel: u32,
 }
 
 impl LimitState {
-    /// Starts without rights.
+    /// Creates the state of a VM that holds no parts.
     ///
     /// `incarnation` is a number that no earlier process of this VM had.
     #[must_use]
@@ -115,7 +119,7 @@
             remote: Vec::new(),
             accounts: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            busy: BTreeSet::new(),
+            waiting_accounts: BTreeSet::new(),
             channels: BTreeSet::new(),
             peers: PeerTable::default(),
             polls: BTreeMap::new(),
@@ -125,12 +129,12 @@
         }
     }
 
-    /// Returns what an account has on this VM at `now`.
+    /// Returns the status of an account on this VM at `now`.
     #[must_use]
     pub fn account_status(&mut self, account: &AccountId, now: LocalTime) -> Option<AccountStatus> {
-        loan::lapse(self, now);
+        part_loan::expire(self, now);
         let account = self.accounts.get_mut(account)?;
-        account.settle(now, &self.settings);
+        account.advance(now, &self.settings);
         let bucket = &account.bucket;
         Some(AccountStatus {
             level: bucket.level(),
@@ -143,13 +147,14 @@
         })
     }
 
-    /// Returns the home of an account in this VM's data centre.
+    /// Returns the owner of an account in this VM's data centre.
     #[must_use]
-    pub fn home(&self, account: &AccountId) -> Option<&VmId> {
-        self.rights.home(self.accounts.get(account)?)
+    pub fn owner(&self, account: &AccountId) -> Option<&VmId> {
+        self.rights.owner(self.accounts.get(account)?)
     }
 
-    /// Returns whether this VM may use and lend what it holds.
+    /// Returns whether this VM may use its parts and knows the accounts'
+    /// limits.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.is_started() && self.table_version.is_some()
@@ -168,23 +173,24 @@
         self.rights.is_usable
     }
 
-    /// Returns the life of a lot.
-    pub(super) fn lot_span(&self) -> TimeSpan {
+    /// Returns the lifetime of a token loan in this data centre.
+    pub(super) fn token_loan_lifetime(&self) -> TimeSpan {
         let members = self.rights.members().map_or(1, MemberList::len);
-        self.settings.lot_span(members)
+        self.settings.token_loan_lifetime(members)
     }
 
-    /// Returns the interval between polls.
+    /// Returns the interval between polls in this data centre.
     pub(super) fn poll_interval(&self) -> TimeSpan {
         let members = self.rights.members().map_or(1, MemberList::len);
         self.settings.poll_interval(members)
     }
 
-    /// Returns how long a lot of `amount` would last, if it can be given.
+    /// Returns the deadline of a token loan of `amount`, or `None` when it
+    /// cannot be granted.
     ///
-    /// The borrower counts on the whole channel until the channel's deadline,
-    /// so that the loans that back the lot have to last as long.
-    pub(super) fn lot_deadline(
+    /// The borrower relies on the whole channel until the channel's deadline,
+    /// so the loans that back the token loan must last as long.
+    pub(super) fn token_loan_deadline(
         &self,
         id: &AccountId,
         channel: &(VmId, ChannelId),
@@ -195,19 +201,20 @@
         let promised = account.lent.get(channel)?.deadline;
         let committed = account.bucket.lent() + account.bucket.held() + amount;
         let settings = &self.settings;
-        let horizon = now + self.lot_span();
+        let horizon = now + self.token_loan_lifetime();
         let assured = self
             .rights
             .assured_until(id, account, committed, horizon, settings);
         let needed = promised.max(now + settings.lot_span_floor);
-        (assured >= needed).then(|| assured.min(now + self.lot_span()))
+        (assured >= needed).then(|| assured.min(now + self.token_loan_lifetime()))
     }
 
-    /// Settles every account that `choose` picks and gives it its slice.
+    /// Advances every account that `choose` selects to `now` and updates its
+    /// slice.
     pub(super) fn resize_where(&mut self, now: LocalTime, choose: impl Fn(&AccountState) -> bool) {
         for (id, account) in &mut self.accounts {
             if choose(account) {
-                account.settle(now, &self.settings);
+                account.advance(now, &self.settings);
                 let size = self.rights.slice(id, account, &self.settings);
                 account.bucket.set_slice(size.rate, size.capacity);
             }
--- a/crates/clementinepond_decide/src/limit/lot.rs
+++ b/crates/clementinepond_decide/src/limit/token_loan.rs
@@ -1,25 +1,28 @@
-//! Channels in which capacity and tokens move between two VMs.
+//! Token loans: channels in which capacity and the tokens that fill it move
+//! between two VMs.
 //!
-//! Both ends keep totals since the channel was opened. The borrower drops
-//! what is outstanding at its deadline; the lender resumes it at its own
-//! deadline, which is later.
+//! Both ends keep totals since the channel was opened. The borrower drops what
+//! is outstanding at its deadline; the lender reclaims it at its own deadline,
+//! which is later.
 
-use super::message::{ChannelId, LotGrant};
+use super::message::{ChannelId, TokenLoanGrant};
 use super::settings::{LimitMutation, LimitSettings};
 use clementinepond_types::{LocalTime, TimeSpan, TokenCount};
 use std::collections::{BTreeSet, VecDeque};
 
 use super::event::TicketId;
 
-/// Reports of which the time of sending is remembered.
-const REMEMBERED_REPORTS: usize = 16;
+/// Number of latest reports whose send time is kept.
+const MAX_TRACKED_REPORTS: usize = 16;
 
 /// Borrower's end of a channel.
 #[derive(Debug)]
 pub(super) struct BorrowedChannel {
     pub(super) id: ChannelId,
+    /// Incarnation of the lender that answered first.
     lender: Option<u32>,
-    step: u32,
+    number: u32,
+    /// Numbers and send times of the latest reports.
     sent: VecDeque<(u32, LocalTime)>,
     granted: TokenCount,
     pub(super) returned_capacity: TokenCount,
@@ -33,7 +36,7 @@
         Self {
             id,
             lender: None,
-            step: 0,
+            number: 0,
             sent: VecDeque::new(),
             granted: TokenCount::ZERO,
             returned_capacity: TokenCount::ZERO,
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Returns capacity that is borrowed and not yet returned.
+    /// Returns the borrowed capacity that has not been returned.
     pub(super) fn outstanding(&self) -> TokenCount {
         self.granted.saturating_sub(self.returned_capacity)
     }
@@ -52,8 +55,13 @@
         self.granted
     }
 
-    /// Returns whether the process that lends is the one that answered first.
-    pub(super) fn is_same_lender(&mut self, grant: &LotGrant, settings: &LimitSettings) -> bool {
+    /// Returns whether the grant comes from the process that answered first,
+    /// which is remembered.
+    pub(super) fn is_same_lender(
+        &mut self,
+        grant: &TokenLoanGrant,
+        settings: &LimitSettings,
+    ) -> bool {
         let lender = *self.lender.get_or_insert(grant.lender);
         lender == grant.lender || settings.has(LimitMutation::TrustRestartedLender)
     }
@@ -62,25 +70,25 @@
         self.deadline
     }
 
-    /// Returns whether the channel was never answered within `span`.
-    pub(super) fn is_abandoned(&self, now: LocalTime, span: TimeSpan) -> bool {
+    /// Returns whether the channel got no grant within `span` of its opening.
+    pub(super) fn is_unanswered(&self, now: LocalTime, span: TimeSpan) -> bool {
         self.deadline.is_none() && self.opened_at + span <= now
     }
 
-    /// Numbers the next report and remembers when it was sent.
-    pub(super) fn next_step(&mut self, now: LocalTime) -> u32 {
-        self.step = self.step.saturating_add(1);
-        if self.sent.len() == REMEMBERED_REPORTS {
+    /// Numbers the next report and records its send time.
+    pub(super) fn next_number(&mut self, now: LocalTime) -> u32 {
+        self.number = self.number.saturating_add(1);
+        if self.sent.len() == MAX_TRACKED_REPORTS {
             self.sent.pop_front();
         }
-        self.sent.push_back((self.step, now));
-        self.step
+        self.sent.push_back((self.number, now));
+        self.number
     }
 
-    /// Takes a grant in; returns the capacity and tokens that it adds.
+    /// Applies a grant; returns the capacity and tokens that it adds.
     pub(super) fn accept(
         &mut self,
-        grant: &LotGrant,
+        grant: &TokenLoanGrant,
         now: LocalTime,
         settings: &LimitSettings,
     ) -> TokenCount {
@@ -100,11 +108,11 @@
 
     fn extended_deadline(
         &self,
-        grant: &LotGrant,
+        grant: &TokenLoanGrant,
         now: LocalTime,
         settings: &LimitSettings,
     ) -> Option<LocalTime> {
-        let sent = self.sent.iter().find(|(step, _)| *step == grant.step);
+        let sent = self.sent.iter().find(|(number, _)| *number == grant.number);
         let from = if settings.has(LimitMutation::CountFromReceipt) {
             now
         } else {
@@ -113,8 +121,8 @@
         Some(from + settings.shorten(grant.time_left))
     }
 
-    /// Notes capacity and tokens that go back to the lender.
-    pub(super) fn give_back(&mut self, capacity: TokenCount, level: TokenCount) {
+    /// Records capacity and tokens that go back to the lender.
+    pub(super) fn record_return(&mut self, capacity: TokenCount, level: TokenCount) {
         self.returned_capacity += capacity;
         self.returned_level += level;
     }
@@ -126,32 +134,34 @@
     granted: TokenCount,
     returned_capacity: TokenCount,
     returned_level: TokenCount,
-    pub(super) step: u32,
-    /// Latest moment until which the borrower may count on the channel.
+    pub(super) number: u32,
+    /// Time until which the borrower may rely on the channel.
     pub(super) deadline: LocalTime,
-    forget_at: LocalTime,
-    /// Whether the last report wanted tokens at once.
-    pub(super) is_gathering: bool,
+    /// Time until which the channel is kept while nothing was granted.
+    unused_until: LocalTime,
+    /// Whether the last report asked for spare tokens.
+    pub(super) wants_tokens: bool,
+    /// Requests in the borrower's reports that were granted or denied.
     pub(super) decided: BTreeSet<TicketId>,
 }
 
-/// Capacity and tokens that came back.
+/// Capacity and tokens newly returned by the borrower.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LotReturn {
+pub(super) struct TokenLoanReturn {
     pub(super) capacity: TokenCount,
     pub(super) level: TokenCount,
 }
 
 impl LentChannel {
-    pub(super) fn new(now: LocalTime, forget_at: LocalTime) -> Self {
+    pub(super) fn new(now: LocalTime, unused_until: LocalTime) -> Self {
         Self {
             granted: TokenCount::ZERO,
             returned_capacity: TokenCount::ZERO,
             returned_level: TokenCount::ZERO,
-            step: 0,
+            number: 0,
             deadline: now,
-            forget_at,
-            is_gathering: false,
+            unused_until,
+            wants_tokens: false,
             decided: BTreeSet::new(),
         }
     }
@@ -160,15 +170,17 @@
         self.granted
     }
 
-    /// Returns capacity that is lent and not yet returned.
+    /// Returns the lent capacity that has not been returned.
     pub(super) fn outstanding(&self) -> TokenCount {
         self.granted.saturating_sub(self.returned_capacity)
     }
 
-    /// Returns whether the borrower can no longer count on the channel.
-    pub(super) fn is_over(&self, now: LocalTime) -> bool {
+    /// Returns whether the borrower can no longer rely on the channel.
+    ///
+    /// A channel without any grant is kept until `unused_until`.
+    pub(super) fn is_expired(&self, now: LocalTime) -> bool {
         let is_unused = self.granted == TokenCount::ZERO;
-        self.deadline <= now && (!is_unused || self.forget_at <= now)
+        self.deadline <= now && (!is_unused || self.unused_until <= now)
     }
 
     /// Adds a grant that lasts until `deadline`.
@@ -177,21 +189,21 @@
         self.deadline = self.deadline.max(deadline);
     }
 
-    /// Takes the borrower's totals in; returns what is new in them.
+    /// Applies the borrower's totals; returns what is new in them.
     pub(super) fn credit(
         &mut self,
         capacity: TokenCount,
         level: TokenCount,
         settings: &LimitSettings,
-    ) -> LotReturn {
+    ) -> TokenLoanReturn {
         let known = capacity.min(self.granted);
-        let mut back = LotReturn {
+        let mut back = TokenLoanReturn {
             capacity: known.saturating_sub(self.returned_capacity),
             level: level.saturating_sub(self.returned_level),
         };
         back.level = back.level.min(back.capacity);
         if settings.has(LimitMutation::AddRepeatedReturns) {
-            back = LotReturn { capacity, level };
+            back = TokenLoanReturn { capacity, level };
         }
         self.returned_capacity = self.returned_capacity.max(known);
         self.returned_level = self.returned_level.max(level);
--- a/crates/clementinepond_decide/src/limit/lot_exchange.rs
+++ b/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
@@ -1,13 +1,13 @@
-//! Reports and grants of lots between two VMs.
+//! Handling of token loan reports and grants from other VMs.
 
 use super::account::{Claimant, QueueEntry};
-use super::lot::LentChannel;
-use super::message::{LotGrant, LotReport};
+use super::message::{TokenLoanGrant, TokenLoanReport};
 use super::outbox::EffectOutbox;
 use super::reservation::TicketState;
 use super::serve;
 use super::settings::LimitMutation;
 use super::state::LimitState;
+use super::token_loan::LentChannel;
 use clementinepond_types::{AccountId, LocalTime, TokenCount, VmId};
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
 pub(super) fn take_report(
     state: &mut LimitState,
     from: &VmId,
-    report: LotReport,
+    report: TokenLoanReport,
     now: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
@@ -23,14 +23,15 @@
     let Some(account) = state.accounts.get_mut(&id) else {
         return;
     };
-    account.settle(now, &state.settings);
+    account.advance(now, &state.settings);
     let key = (from.clone(), report.channel);
-    let is_home = state.rights.home(account) == Some(&state.rights.vm);
-    let is_ordering = is_home && !report.items.is_empty();
+    let is_owner = state.rights.owner(account) == Some(&state.rights.vm);
+    let is_queueing = is_owner && !report.requests.is_empty();
     let is_unknown = report.granted > TokenCount::ZERO
         && !account.lent.contains_key(&(from.clone(), report.channel));
-    let asks = !state.releasing && !is_unknown && (is_ordering || report.want > TokenCount::ZERO);
-    if !account.lent.contains_key(&key) && !asks && !is_unknown {
+    let is_requesting =
+        !state.releasing && !is_unknown && (is_queueing || report.want > TokenCount::ZERO);
+    if !account.lent.contains_key(&key) && !is_requesting && !is_unknown {
         return;
     }
     let lent = account
@@ -42,32 +43,32 @@
         report.returned_level,
         &state.settings,
     );
-    account.bucket.resume(back.capacity, back.level);
-    let is_newer = report.step > lent.step;
+    account.bucket.reclaim(back.capacity, back.level);
+    let is_newer = report.number > lent.number;
     let is_lasting = lent.outstanding() > TokenCount::ZERO;
     if is_newer {
-        lent.step = report.step;
-        lent.is_gathering = report.want > TokenCount::ZERO;
+        lent.number = report.number;
+        lent.wants_tokens = report.want > TokenCount::ZERO;
     }
     state.channels.insert(id.clone());
     if is_newer {
-        replace_items(state, from, &report, is_ordering && asks, now);
+        replace_requests(state, from, &report, is_queueing && is_requesting, now);
     }
-    if is_newer && asks {
-        spare_wanted(state, from, &report, now);
+    if is_newer && is_requesting {
+        grant_spare_tokens(state, from, &report, now);
     }
-    if asks || is_lasting || is_unknown {
+    if is_requesting || is_lasting || is_unknown {
         outbox.grant(from, &id, report.channel);
     }
     serve::serve(state, &id, now, outbox);
 }
 
-/// Makes the queue hold exactly the requests that the report lists.
-fn replace_items(
+/// Replaces the borrower's queued requests by those that the report lists.
+fn replace_requests(
     state: &mut LimitState,
     from: &VmId,
-    report: &LotReport,
-    is_ordering: bool,
+    report: &TokenLoanReport,
+    is_queueing: bool,
     now: LocalTime,
 ) {
     let Some(account) = state.accounts.get_mut(&report.account) else {
@@ -76,7 +77,11 @@
     let Some(lent) = account.lent.get_mut(&(from.clone(), report.channel)) else {
         return;
     };
-    let listed: BTreeSet<_> = report.items.iter().map(|item| item.ticket).collect();
+    let listed: BTreeSet<_> = report
+        .requests
+        .iter()
+        .map(|request| request.ticket)
+        .collect();
     lent.decided.retain(|ticket| listed.contains(ticket));
     let decided = lent.decided.clone();
     let mut queued = BTreeSet::new();
@@ -94,28 +99,34 @@
         }
         _ => true,
     });
-    if !is_ordering {
+    if !is_queueing {
         return;
     }
-    for item in &report.items {
-        if queued.contains(&item.ticket) || decided.contains(&item.ticket) {
+    for request in &report.requests {
+        if queued.contains(&request.ticket) || decided.contains(&request.ticket) {
             continue;
         }
         let entry = QueueEntry {
             claimant: Claimant::Remote {
                 vm: from.clone(),
                 channel: report.channel,
-                ticket: item.ticket,
+                ticket: request.ticket,
             },
-            cost: item.cost,
-            deadline: now + item.time_left.min(state.settings.queue_wait),
+            cost: request.cost,
+            deadline: now + request.time_left.min(state.settings.queue_wait),
         };
-        account.enqueue(item.priority, entry);
+        account.enqueue(request.priority, entry);
     }
 }
 
-/// Grants what another home wants, as far as this one can spare it.
-fn spare_wanted(state: &mut LimitState, from: &VmId, report: &LotReport, now: LocalTime) {
+/// Grants as much of the tokens that another owner wants as the queue here
+/// leaves over.
+fn grant_spare_tokens(
+    state: &mut LimitState,
+    from: &VmId,
+    report: &TokenLoanReport,
+    now: LocalTime,
+) {
     let Some(account) = state.accounts.get(&report.account) else {
         return;
     };
@@ -125,7 +136,7 @@
         return;
     }
     let key = (from.clone(), report.channel);
-    let Some(deadline) = state.lot_deadline(&report.account, &key, amount, now) else {
+    let Some(deadline) = state.token_loan_deadline(&report.account, &key, amount, now) else {
         return;
     };
     let with_capacity = !state.settings.has(LimitMutation::LendWithoutCapacity);
@@ -138,11 +149,11 @@
     }
 }
 
-/// Handles a lender's grant: borrows what is new and ends denied requests.
+/// Handles a lender's grant: borrows what is new and refuses denied requests.
 pub(super) fn take_grant(
     state: &mut LimitState,
     from: &VmId,
-    grant: &LotGrant,
+    grant: &TokenLoanGrant,
     now: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
@@ -150,7 +161,7 @@
     let Some(account) = state.accounts.get_mut(id) else {
         return;
     };
-    account.settle(now, &state.settings);
+    account.advance(now, &state.settings);
     let Some(channel) = account.borrowed.get_mut(from) else {
         return;
     };
@@ -161,9 +172,9 @@
         let added = channel.accept(grant, now, &state.settings);
         account.bucket.borrow(added);
     } else {
-        let lapsed = channel.outstanding();
+        let expired = channel.outstanding();
         account.borrowed.remove(from);
-        account.bucket.give_up(lapsed, TokenCount::ZERO);
+        account.bucket.return_borrowed(expired, TokenCount::ZERO);
     }
     if let Some(answer) = account.round.answers.get_mut(from) {
         answer.hint = grant.hint;
@@ -177,7 +188,7 @@
 fn refuse_denied(
     state: &mut LimitState,
     id: &AccountId,
-    denial: &super::message::ItemDenial,
+    denial: &super::message::RequestDenial,
     outbox: &mut EffectOutbox,
 ) {
     let Some(TicketState::Waiting(ticket)) = state.tickets.get(&denial.ticket) else {
--- a/crates/clementinepond_decide/src/limit/upstream.rs
+++ b/crates/clementinepond_decide/src/limit/upstream.rs
@@ -1,52 +1,58 @@
-//! Asking other VMs for tokens.
+//! Requests to other VMs for missing tokens.
 //!
-//! A VM passes its waiting requests to the account's home in its data
-//! centre, which orders them with those of other VMs. A home that is short,
-//! or a VM whose home does not answer, gathers tokens from the account's
-//! homes in other data centres, one at a time.
+//! A VM reports its waiting requests to the account's owner in its data centre,
+//! which queues them with those of other VMs. An owner that is short of tokens,
+//! or a VM whose owner does not answer, requests tokens from the account's
+//! owners in other data centres, one at a time.
 
-use super::account::{AccountState, AskRound, Claimant, PeerAnswer};
-use super::lot::BorrowedChannel;
+use super::account::{AccountState, Claimant, PeerAnswer, RequestRound};
 use super::message::LevelHint;
 use super::outbox::EffectOutbox;
 use super::state::LimitState;
+use super::token_loan::BorrowedChannel;
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::cmp::Reverse;
 
-/// Retry intervals between two rounds of questions to other homes.
-const ROUND_INTERVALS: u64 = 3;
-/// Doublings of the interval between repeated questions to a home.
-const REPEAT_DOUBLINGS: u32 = 4;
+/// Length of a round of requests to owners in other data centres, in retry
+/// intervals.
+const ROUND_RETRY_INTERVALS: u64 = 3;
+/// Most doublings of the interval between repeated requests to the owner.
+const RETRY_DOUBLINGS: u32 = 4;
 
-/// What is known to be within reach.
+/// Tokens known to be available here and at the VMs that answered.
 #[derive(Debug)]
-pub(super) struct KnownReach {
+pub(super) struct ReachableTokens {
     pub(super) total: LevelHint,
+    /// Whether every reachable VM that could lend tokens has answered.
     pub(super) is_complete: bool,
 }
 
-/// Returns the VM that orders the account's requests, if it is another one.
-fn orderer<'a>(state: &LimitState, account: &'a AccountState, now: LocalTime) -> Option<&'a VmId> {
+/// Returns the account's owner, when that is another VM and reachable.
+fn reachable_owner<'a>(
+    state: &LimitState,
+    account: &'a AccountState,
+    now: LocalTime,
+) -> Option<&'a VmId> {
     state
         .rights
-        .home(account)
-        .filter(|home| **home != state.rights.vm)
-        .filter(|home| state.peers.is_reachable(home, now, &state.settings))
+        .owner(account)
+        .filter(|owner| **owner != state.rights.vm)
+        .filter(|owner| state.peers.is_reachable(owner, now, &state.settings))
 }
 
-/// Lists the account's homes in the other data centres.
-fn other_homes(state: &LimitState, account: &AccountState) -> Vec<VmId> {
+/// Lists the account's owners in the other data centres.
+fn remote_owners(state: &LimitState, account: &AccountState) -> Vec<VmId> {
     state
         .remote
         .iter()
-        .filter_map(|list| list.home(account.hash))
-        .filter(|home| **home != state.rights.vm)
+        .filter_map(|list| list.owner(account.hash))
+        .filter(|owner| **owner != state.rights.vm)
         .cloned()
         .collect()
 }
 
-/// Asks for what the waiting requests lack.
-pub(super) fn ask(
+/// Requests the tokens that the waiting requests lack.
+pub(super) fn request_tokens(
     state: &mut LimitState,
     id: &AccountId,
     now: LocalTime,
@@ -56,36 +62,36 @@
         return;
     };
     if account.shortfall() == TokenCount::ZERO {
-        account.round = AskRound::default();
+        account.round = RequestRound::default();
         return;
     }
     let Some(account) = state.accounts.get(id) else {
         return;
     };
-    match orderer(state, account, now).cloned() {
-        Some(home) => ask_home(state, id, &home, now, outbox),
+    match reachable_owner(state, account, now).cloned() {
+        Some(owner) => request_from_owner(state, id, &owner, now, outbox),
         None => {
-            probe_home(state, id, now, outbox);
-            gather(state, id, now, outbox);
+            probe_owner(state, id, now, outbox);
+            request_from_remote_owners(state, id, now, outbox);
         }
     }
 }
 
-/// Tries an unreachable home again when a probe is due.
-fn probe_home(state: &mut LimitState, id: &AccountId, now: LocalTime, outbox: &mut EffectOutbox) {
-    let home = state.home(id).cloned();
-    let Some(home) = home.filter(|home| *home != state.rights.vm) else {
+/// Reports to an unreachable owner again when a probe is due.
+fn probe_owner(state: &mut LimitState, id: &AccountId, now: LocalTime, outbox: &mut EffectOutbox) {
+    let owner = state.owner(id).cloned();
+    let Some(owner) = owner.filter(|owner| *owner != state.rights.vm) else {
         return;
     };
-    if state.peers.is_askable(&home, now, &state.settings) {
-        send(state, id, &home, now, outbox);
+    if state.peers.may_contact(&owner, now, &state.settings) {
+        send_report(state, id, &owner, now, outbox);
     }
 }
 
-fn ask_home(
+fn request_from_owner(
     state: &mut LimitState,
     id: &AccountId,
-    home: &VmId,
+    owner: &VmId,
     now: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
@@ -103,22 +109,27 @@
     }
     let round = &mut account.round;
     round.answers.clear();
-    if round.repeat_at.is_some_and(|at| now < at) {
+    if round.retry_at.is_some_and(|at| now < at) {
         return;
     }
-    let doublings = round.repeats.min(REPEAT_DOUBLINGS);
-    round.repeat_at = Some(now + TimeSpan::from_micros(interval.micros() << doublings));
-    round.repeats += 1;
-    send(state, id, home, now, outbox);
+    let doublings = round.retries.min(RETRY_DOUBLINGS);
+    round.retry_at = Some(now + TimeSpan::from_micros(interval.micros() << doublings));
+    round.retries += 1;
+    send_report(state, id, owner, now, outbox);
 }
 
-fn gather(state: &mut LimitState, id: &AccountId, now: LocalTime, outbox: &mut EffectOutbox) {
+fn request_from_remote_owners(
+    state: &mut LimitState,
+    id: &AccountId,
+    now: LocalTime,
+    outbox: &mut EffectOutbox,
+) {
     let interval = state.settings.retry_interval;
-    let round_span = TimeSpan::from_micros(interval.micros() * ROUND_INTERVALS);
+    let round_span = TimeSpan::from_micros(interval.micros() * ROUND_RETRY_INTERVALS);
     let Some(account) = state.accounts.get(id) else {
         return;
     };
-    let homes = other_homes(state, account);
+    let owners = remote_owners(state, account);
     let Some(account) = state.accounts.get_mut(id) else {
         return;
     };
@@ -135,47 +146,47 @@
     let is_waiting = round
         .answers
         .values()
-        .any(|answer| answer.hint.is_none() && now < answer.asked_at + interval);
+        .any(|answer| answer.hint.is_none() && now < answer.requested_at + interval);
     if is_waiting {
         return;
     }
-    let Some(home) = choose(state, id, &homes, now) else {
+    let Some(owner) = next_owner(state, id, &owners, now) else {
         return;
     };
     let answer = PeerAnswer {
-        asked_at: now,
+        requested_at: now,
         hint: None,
     };
     if let Some(account) = state.accounts.get_mut(id) {
-        account.round.answers.insert(home.clone(), answer);
+        account.round.answers.insert(owner.clone(), answer);
     }
-    send(state, id, &home, now, outbox);
+    send_report(state, id, &owner, now, outbox);
 }
 
-/// Picks the next home to ask in this round.
-fn choose(state: &LimitState, id: &AccountId, homes: &[VmId], now: LocalTime) -> Option<VmId> {
+/// Returns the next owner to send a request to in this round.
+fn next_owner(state: &LimitState, id: &AccountId, owners: &[VmId], now: LocalTime) -> Option<VmId> {
     let round = &state.accounts.get(id)?.round;
     let interval = state.settings.retry_interval;
-    let is_due = |home: &&VmId| match round.answers.get(*home) {
-        Some(answer) => answer.hint.is_none() && answer.asked_at + interval <= now,
+    let is_due = |owner: &&VmId| match round.answers.get(*owner) {
+        Some(answer) => answer.hint.is_none() && answer.requested_at + interval <= now,
         None => true,
     };
-    homes
+    owners
         .iter()
         .filter(is_due)
-        .filter(|home| state.peers.is_askable(home, now, &state.settings))
-        .min_by_key(|home| {
+        .filter(|owner| state.peers.may_contact(owner, now, &state.settings))
+        .min_by_key(|owner| {
             Reverse(
                 round
                     .answers
-                    .get(*home)
-                    .map(|answer| Reverse(answer.asked_at)),
+                    .get(*owner)
+                    .map(|answer| Reverse(answer.requested_at)),
             )
         })
         .cloned()
 }
 
-fn send(
+fn send_report(
     state: &mut LimitState,
     id: &AccountId,
     to: &VmId,
@@ -190,34 +201,34 @@
             .or_insert_with(|| BorrowedChannel::new(fresh, now));
     }
     state.channels.insert(id.clone());
-    state.peers.asked(to, now, &state.settings);
+    state.peers.record_request(to, now, &state.settings);
     outbox.report(to, id);
 }
 
-/// Returns what this VM and the VMs that answered have.
-pub(super) fn known_reach(
+/// Returns the tokens of this VM and of the VMs that answered.
+pub(super) fn reachable_tokens(
     state: &LimitState,
     account: &AccountState,
     now: LocalTime,
-) -> KnownReach {
+) -> ReachableTokens {
     let bucket = &account.bucket;
     let mut total = LevelHint {
         level: bucket.level(),
         rate: bucket.rate(),
         capacity: bucket.slice() + bucket.borrowed(),
     };
-    if orderer(state, account, now).is_some() {
-        return KnownReach {
+    if reachable_owner(state, account, now).is_some() {
+        return ReachableTokens {
             total,
             is_complete: false,
         };
     }
     let mut is_complete = state.is_started();
-    for home in other_homes(state, account) {
+    for owner in remote_owners(state, account) {
         match account
             .round
             .answers
-            .get(&home)
+            .get(&owner)
             .and_then(|answer| answer.hint)
         {
             Some(hint) => {
@@ -225,9 +236,9 @@
                 total.rate += hint.rate;
                 total.capacity += hint.capacity;
             }
-            None if state.peers.is_reachable(&home, now, &state.settings) => is_complete = false,
+            None if state.peers.is_reachable(&owner, now, &state.settings) => is_complete = false,
             None => {}
         }
     }
-    KnownReach { total, is_complete }
+    ReachableTokens { total, is_complete }
 }
--- a/crates/clementinepond_decide/src/node/limit_part.rs
+++ b/crates/clementinepond_decide/src/node/limit_part.rs
@@ -4,7 +4,7 @@
 use super::run::NodeRun;
 use super::state::PartsStop;
 use crate::limit::{
-    self, LimitEffect, LimitEvent, RefusalReason, RemoteCentre, RosterView, TicketId,
+    self, LimitEffect, LimitEvent, RefusalReason, RemoteDataCentre, RosterView, TicketId,
 };
 use crate::request::{EndReason, RequestEnd, RequestEvent};
 use crate::roster::{RosterEvent, UsableParts};
@@ -125,7 +125,7 @@
             members: table.value.members.keys().cloned().collect(),
             remote: remote
                 .filter(|(data_centre, _)| *data_centre != own)
-                .map(|(data_centre, table)| RemoteCentre {
+                .map(|(data_centre, table)| RemoteDataCentre {
                     data_centre: data_centre.clone(),
                     members: table.value.members.keys().cloned().collect(),
                 })
--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request_part.rs
@@ -5,7 +5,7 @@
 use super::state::PendingRun;
 use crate::claim::{ClaimEvent, ClaimTicket, RunOutcome};
 use crate::crash::{CrashEvent, CrashTicket, EndpointIncarnation};
-use crate::limit::{AdmissionAsk, LimitEvent, TicketId};
+use crate::limit::{AdmissionRequest, LimitEvent, TicketId};
 use crate::request::{
     self, AttemptNumber, AttemptOutcome, DispatchOrder, EndReason, RequestEffect, RequestEnd,
     RequestEvent, RequestProfile, RequestStage,
@@ -119,7 +119,7 @@
         let Some(account) = profile.account.clone() else {
             return;
         };
-        self.take_limit(LimitEvent::Ask(AdmissionAsk {
+        self.take_limit(LimitEvent::Request(AdmissionRequest {
             ticket: TicketId::new(ticket.get()),
             account,
             prompt: profile.prompt,
--- a/crates/clementinepond_decide/src/node/state.rs
+++ b/crates/clementinepond_decide/src/node/state.rs
@@ -124,6 +124,6 @@
             .roster
             .own_table()
             .map_or(1, |table| table.value.members.len());
-        self.limit_settings.longest_grant(members)
+        self.limit_settings.longest_grant_lifetime(members)
     }
 }
--- a/crates/clementinepond_decide/tests/limit.rs
+++ b/crates/clementinepond_decide/tests/limit.rs
@@ -1,10 +1,11 @@
-//! Limits on one and on a few VMs, event by event.
+//! Tests of the limits on one and two VMs, driven event by event.
 
 #![expect(clippy::unwrap_used, reason = "a failed helper fails its test")]
 
 use clementinepond_decide::limit::{
-    AccountLimit, AccountTable, AdmissionAsk, LimitEffect, LimitEvent, LimitMessage, LimitMutation,
-    LimitSettings, LimitState, RefusalReason, RemoteCentre, RosterView, TicketId, reduce,
+    AccountLimit, AccountTable, AdmissionRequest, LimitEffect, LimitEvent, LimitMessage,
+    LimitMutation, LimitSettings, LimitState, RefusalReason, RemoteDataCentre, RosterView,
+    TicketId, reduce,
 };
 use clementinepond_types::{
     AccountId, Epoch, LocalTime, ObjectVersion, PartCount, PriorityClass, TimeSpan, TokenCount,
@@ -33,8 +34,8 @@
     })
 }
 
-fn ask(ticket: u64, prompt: u64, output: u64, priority: u8) -> LimitEvent {
-    LimitEvent::Ask(AdmissionAsk {
+fn request(ticket: u64, prompt: u64, output: u64, priority: u8) -> LimitEvent {
+    LimitEvent::Request(AdmissionRequest {
         ticket: TicketId::new(ticket),
         account: account(),
         prompt: TokenCount::new(prompt),
@@ -57,16 +58,16 @@
     }
 }
 
-/// One VM in each data centre, with messages that arrive at once.
-struct SmallFleet {
+/// One VM in each data centre; messages are delivered without delay.
+struct TestFleet {
     states: Vec<LimitState>,
     now: u64,
-    cut: Vec<usize>,
-    loses_returns: bool,
+    unreachable: Vec<usize>,
+    drops_returns: bool,
     effects: Vec<LimitEffect>,
 }
 
-impl SmallFleet {
+impl TestFleet {
     /// Launches `count` data centres with equal shares.
     fn launch(count: usize, mutation: LimitMutation) -> Self {
         let settings = LimitSettings {
@@ -79,8 +80,8 @@
         let mut fleet = Self {
             states: states.collect(),
             now: 0,
-            cut: Vec::new(),
-            loses_returns: false,
+            unreachable: Vec::new(),
+            drops_returns: false,
             effects: Vec::new(),
         };
         for index in 0..count {
@@ -91,26 +92,27 @@
                 share: PartCount::new(share),
                 members: vec![vm(index)],
                 remote: others
-                    .map(|other| RemoteCentre {
+                    .map(|other| RemoteDataCentre {
                         data_centre: format!("dc-{other}").parse().unwrap(),
                         members: vec![vm(other)],
                     })
                     .collect(),
             };
-            fleet.tell(index, LimitEvent::PartsChanged(view));
-            fleet.tell(index, table(1, 100, 1_000));
+            fleet.apply(index, LimitEvent::PartsChanged(view));
+            fleet.apply(index, table(1, 100, 1_000));
         }
         fleet
     }
 
-    /// Lets the start wait pass and the buckets fill.
+    /// Launches data centres and advances until the start wait is over and the
+    /// buckets are full.
     fn start(count: usize, mutation: LimitMutation) -> Self {
         let mut fleet = Self::launch(count, mutation);
-        fleet.pass(30 * SECOND);
+        fleet.advance(30 * SECOND);
         fleet
     }
 
-    fn tell(&mut self, index: usize, event: LimitEvent) {
+    fn apply(&mut self, index: usize, event: LimitEvent) {
         let now = LocalTime::from_micros(self.now);
         for effect in reduce(&mut self.states[index], event, now) {
             match effect {
@@ -123,25 +125,25 @@
     fn deliver(&mut self, from: usize, to: &VmId, mut message: LimitMessage) {
         let target = (0..self.states.len()).find(|index| vm(*index) == *to);
         let target = target.unwrap();
-        if self.cut.contains(&from) || self.cut.contains(&target) {
+        if self.unreachable.contains(&from) || self.unreachable.contains(&target) {
             return;
         }
-        if self.loses_returns {
+        if self.drops_returns {
             message
                 .reports
                 .retain(|report| report.want > TokenCount::ZERO);
         }
         let from = vm(from);
-        self.tell(target, LimitEvent::Received { from, message });
+        self.apply(target, LimitEvent::Received { from, message });
     }
 
-    /// Lets time pass with a tick every 20 ms.
-    fn pass(&mut self, span: u64) {
+    /// Advances the clock with a tick every 20 ms.
+    fn advance(&mut self, span: u64) {
         let end = self.now + span;
         while self.now < end {
             self.now += 20_000;
             for index in 0..self.states.len() {
-                self.tell(index, LimitEvent::Tick);
+                self.apply(index, LimitEvent::Tick);
             }
         }
     }
@@ -174,85 +176,93 @@
     })
 }
 
-/// Reserves a burst, lets time pass, spends what refilled and refunds.
-fn spent_at_once(mutation: LimitMutation) -> u64 {
-    let mut fleet = SmallFleet::start(1, mutation);
-    fleet.tell(0, ask(1, 0, 1_000, 0));
-    fleet.tell(0, started(1));
-    fleet.pass(10 * SECOND);
+/// Returns the tokens usable at once when a whole burst is reserved, the bucket
+/// refills, the refilled tokens are requested and the burst is then refunded.
+fn usable_at_once(mutation: LimitMutation) -> u64 {
+    let mut fleet = TestFleet::start(1, mutation);
+    fleet.apply(0, request(1, 0, 1_000, 0));
+    fleet.apply(0, started(1));
+    fleet.advance(10 * SECOND);
     let refilled = fleet.level(0);
-    fleet.tell(0, ask(2, refilled, 0, 0));
-    fleet.tell(0, settle(1, 0));
+    fleet.apply(0, request(2, refilled, 0, 0));
+    fleet.apply(0, settle(1, 0));
     refilled + fleet.level(0)
 }
 
 #[test]
-fn a_refund_never_raises_a_refilled_bucket() {
-    assert!(spent_at_once(LimitMutation::None) <= 1_000);
-    assert!(spent_at_once(LimitMutation::ForgetHolds) > 1_000);
+fn refund_does_not_overfill_refilled_bucket() {
+    assert!(usable_at_once(LimitMutation::None) <= 1_000);
+    assert!(usable_at_once(LimitMutation::ReserveWithoutHold) > 1_000);
 }
 
-/// Spends a lot whose return is lost; tells what the lender gains by its lapse.
-fn gained_by_lapse(mutation: LimitMutation) -> u64 {
-    let mut fleet = SmallFleet::start(2, mutation);
-    fleet.tell(0, ask(1, 900, 0, 0));
+/// Returns the tokens that a lender gains when a token loan expires that was
+/// spent and whose return was lost.
+fn gained_by_expiry(mutation: LimitMutation) -> u64 {
+    let mut fleet = TestFleet::start(2, mutation);
+    fleet.apply(0, request(1, 900, 0, 0));
     assert!(is_admitted(&fleet.take_effects(), 1));
-    fleet.tell(0, started(1));
-    fleet.tell(0, settle(1, 900));
+    fleet.apply(0, started(1));
+    fleet.apply(0, settle(1, 900));
     let left = fleet.level(1);
-    fleet.loses_returns = true;
-    let lapse = fleet.now + LimitSettings::default().longest_grant(1).micros();
-    fleet.now = lapse + SECOND / 10;
+    fleet.drops_returns = true;
+    let expiry = fleet.now + LimitSettings::default().longest_grant_lifetime(1).micros();
+    fleet.now = expiry + SECOND / 10;
     fleet.level(1) - left
 }
 
 #[test]
-fn a_lender_resumes_a_lapsed_lot_empty() {
+fn expired_token_loan_is_reclaimed_without_tokens() {
     let refill = 50 * 7;
-    assert!(gained_by_lapse(LimitMutation::None) <= refill);
-    assert!(gained_by_lapse(LimitMutation::ResumeFull) > refill);
+    assert!(gained_by_expiry(LimitMutation::None) <= refill);
+    assert!(gained_by_expiry(LimitMutation::ReclaimFull) > refill);
 }
 
 fn rate_after_older_table(mutation: LimitMutation) -> u64 {
-    let mut fleet = SmallFleet::start(1, mutation);
-    fleet.tell(0, table(3, 50, 500));
-    fleet.tell(0, table(2, 100, 1_000));
+    let mut fleet = TestFleet::start(1, mutation);
+    fleet.apply(0, table(3, 50, 500));
+    fleet.apply(0, table(2, 100, 1_000));
     let now = LocalTime::from_micros(fleet.now);
     let status = fleet.states[0].account_status(&account(), now).unwrap();
     status.rate.micro() / 1_000_000
 }
 
 #[test]
-fn an_older_table_never_replaces_a_newer_one() {
+fn older_table_is_ignored() {
     assert_eq!(rate_after_older_table(LimitMutation::None), 50);
     assert_eq!(rate_after_older_table(LimitMutation::AcceptOlderTable), 100);
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
-    let mut fleet = SmallFleet::start(1, LimitMutation::None);
-    fleet.tell(0, ask(1, 1_000, 0, 0));
-    fleet.tell(0, ask(2, 300, 0, 0));
+fn unservable_request_is_refused_at_once_with_retry_after() {
+    let mut fleet = TestFleet::start(1, LimitMutation::None);
+    fleet.apply(0, request(1, 1_000, 0, 0));
+    fleet.apply(0, request(2, 300, 0, 0));
     let effects = fleet.take_effects();
     assert!(is_admitted(&effects, 1));
     let (reason, retry) = refusal(&effects, 2).expect("refused without waiting");
     assert_eq!(reason, RefusalReason::OverRate);
     let wait = retry.unwrap().micros();
-    assert_eq!(wait, 3 * SECOND, "300 tokens at 100 a second");
-    fleet.tell(0, started(1));
-    fleet.tell(0, settle(1, 1_000));
-    fleet.pass(wait - 400_000);
-    fleet.tell(0, ask(3, 300, 0, 0));
-    assert!(refusal(&fleet.take_effects(), 3).is_some(), "too early");
-    fleet.pass(400_000);
-    fleet.tell(0, ask(4, 300, 0, 0));
-    assert!(is_admitted(&fleet.take_effects(), 4), "at the time told");
+    assert_eq!(wait, 3 * SECOND, "300 tokens at 100 tokens per second");
+    fleet.apply(0, started(1));
+    fleet.apply(0, settle(1, 1_000));
+    fleet.advance(wait - 400_000);
+    fleet.apply(0, request(3, 300, 0, 0));
+    assert!(
+        refusal(&fleet.take_effects(), 3).is_some(),
+        "refused before the retry time"
+    );
+    fleet.advance(400_000);
+    fleet.apply(0, request(4, 300, 0, 0));
+    assert!(
+        is_admitted(&fleet.take_effects(), 4),
+        "admitted at the retry time"
+    );
 }
 
 #[test]
-fn requests_that_can_never_run_are_told_so() {
-    let mut fleet = SmallFleet::start(1, LimitMutation::None);
-    fleet.tell(0, ask(1, 1_001, 0, 0));
+fn request_over_burst_or_without_account_is_refused() {
+    let mut fleet = TestFleet::start(1, LimitMutation::None);
+    fleet.apply(0, request(1, 1_001, 0, 0));
     let (reason, retry) = refusal(&fleet.take_effects(), 1).unwrap();
     assert!(matches!(reason, RefusalReason::LargerThanBurst { .. }));
     assert!(reason.to_string().contains("shorten it or raise the burst"));
@@ -261,35 +271,35 @@
         version: ObjectVersion::new(9),
         limits: BTreeMap::new(),
     };
-    fleet.tell(0, LimitEvent::AccountsChanged(empty));
-    fleet.tell(0, ask(2, 1, 0, 0));
+    fleet.apply(0, LimitEvent::AccountsChanged(empty));
+    fleet.apply(0, request(2, 1, 0, 0));
     let (reason, _) = refusal(&fleet.take_effects(), 2).unwrap();
     assert_eq!(reason, RefusalReason::NoAccount);
 }
 
 #[test]
 fn higher_priority_is_admitted_first() {
-    let mut fleet = SmallFleet::start(1, LimitMutation::None);
-    fleet.tell(0, ask(1, 1_000, 0, 0));
-    fleet.tell(0, started(1));
-    fleet.tell(0, ask(2, 20, 0, 1));
-    fleet.tell(0, ask(3, 5, 0, 9));
+    let mut fleet = TestFleet::start(1, LimitMutation::None);
+    fleet.apply(0, request(1, 1_000, 0, 0));
+    fleet.apply(0, started(1));
+    fleet.apply(0, request(2, 20, 0, 1));
+    fleet.apply(0, request(3, 5, 0, 9));
     fleet.take_effects();
-    fleet.pass(60_000);
+    fleet.advance(60_000);
     let effects = fleet.take_effects();
     assert!(is_admitted(&effects, 3) && !is_admitted(&effects, 2));
-    fleet.pass(230_000);
+    fleet.advance(230_000);
     assert!(is_admitted(&fleet.take_effects(), 2));
 }
 
 #[test]
-fn a_cut_off_data_centre_keeps_its_share() {
-    let mut fleet = SmallFleet::start(2, LimitMutation::None);
-    fleet.cut = vec![1];
-    fleet.tell(0, ask(1, 400, 0, 0));
-    fleet.tell(1, ask(2, 500, 0, 0));
-    fleet.tell(0, ask(3, 600, 0, 0));
-    fleet.pass(400_000);
+fn unreachable_data_centre_keeps_its_share() {
+    let mut fleet = TestFleet::start(2, LimitMutation::None);
+    fleet.unreachable = vec![1];
+    fleet.apply(0, request(1, 400, 0, 0));
+    fleet.apply(1, request(2, 500, 0, 0));
+    fleet.apply(0, request(3, 600, 0, 0));
+    fleet.advance(400_000);
     let effects = fleet.take_effects();
     assert!(is_admitted(&effects, 1) && is_admitted(&effects, 2));
     let (reason, _) = refusal(&effects, 3).unwrap();
@@ -297,27 +307,27 @@
 }
 
 #[test]
-fn release_waits_until_every_right_is_back() {
-    let mut fleet = SmallFleet::start(2, LimitMutation::None);
-    fleet.tell(1, ask(1, 900, 0, 0));
+fn release_waits_for_return_of_token_loans() {
+    let mut fleet = TestFleet::start(2, LimitMutation::None);
+    fleet.apply(1, request(1, 900, 0, 0));
     assert!(is_admitted(&fleet.take_effects(), 1));
-    fleet.tell(0, LimitEvent::Release);
-    fleet.tell(0, LimitEvent::Tick);
+    fleet.apply(0, LimitEvent::Release);
+    fleet.apply(0, LimitEvent::Tick);
     assert!(!fleet.take_effects().contains(&LimitEffect::Released));
-    fleet.tell(1, settle(1, 900));
-    fleet.pass(12 * SECOND);
+    fleet.apply(1, settle(1, 900));
+    fleet.advance(12 * SECOND);
     assert!(fleet.take_effects().contains(&LimitEffect::Released));
 }
 
-fn is_released_at_start(mutation: LimitMutation) -> bool {
-    let mut fleet = SmallFleet::launch(1, mutation);
-    fleet.tell(0, LimitEvent::Release);
-    fleet.pass(SECOND);
+fn is_released_within_start_wait(mutation: LimitMutation) -> bool {
+    let mut fleet = TestFleet::launch(1, mutation);
+    fleet.apply(0, LimitEvent::Release);
+    fleet.advance(SECOND);
     fleet.take_effects().contains(&LimitEffect::Released)
 }
 
 #[test]
-fn a_restarted_vm_leaves_after_its_earlier_grants_have_lapsed() {
-    assert!(!is_released_at_start(LimitMutation::None));
-    assert!(is_released_at_start(LimitMutation::ReleaseEarly));
+fn release_after_restart_waits_for_earlier_grants() {
+    assert!(!is_released_within_start_wait(LimitMutation::None));
+    assert!(is_released_within_start_wait(LimitMutation::ReleaseEarly));
 }
--- a/crates/clementinepond_decide/tests/limit_settings.rs
+++ b/crates/clementinepond_decide/tests/limit_settings.rs
@@ -1,15 +1,15 @@
-//! Lives of grants, on which the roster's hold-off rests.
+//! Tests of grant lifetimes, which bound the roster's hold-off.
 
 use clementinepond_decide::limit::LimitSettings;
 use clementinepond_types::TimeSpan;
 
 #[test]
-fn no_grant_outlives_its_limit_however_large_the_data_centre() {
+fn part_loan_lifetime_stays_within_limit_for_any_member_count() {
     let settings = LimitSettings {
         grant_limit: TimeSpan::from_secs(20),
         ..LimitSettings::default()
     };
     for members in [1, 8, 98, 390, 100_000] {
-        assert!(settings.loan_span(members) <= TimeSpan::from_secs(20));
+        assert!(settings.part_loan_lifetime(members) <= TimeSpan::from_secs(20));
     }
 }
--- a/crates/clementinepond_measure/src/experiment/limits/client.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/client.rs
@@ -4,7 +4,7 @@
 use super::host::PendingAsk;
 use super::plan::{BalancePlan, ReservePlan, SECOND};
 use super::stream::{MEAN_COST, RequestPlan, StreamPart, TokenStream};
-use clementinepond_decide::limit::{AdmissionAsk, LimitEvent, TicketId};
+use clementinepond_decide::limit::{AdmissionRequest, LimitEvent, TicketId};
 use clementinepond_types::{LocalTime, PriorityClass, TimeSpan, TokenCount};
 use rand::RngExt;
 
@@ -108,7 +108,7 @@
         let ticket = self.next_ticket();
         let vm = pending.vm;
         let local = self.vms[vm].local(self.now);
-        let event = LimitEvent::Ask(AdmissionAsk {
+        let event = LimitEvent::Request(AdmissionRequest {
             ticket,
             account: self.account_ids[pending.request.account].clone(),
             prompt: TokenCount::new(pending.prompt),
--- a/crates/clementinepond_measure/src/experiment/limits/fault.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/fault.rs
@@ -69,7 +69,8 @@
         }
         self.vms[vm].is_stopped = true;
         let members = self.plan.centres[self.vms[vm].centre];
-        let hold_off = self.plan.settings.longest_grant(members).micros() + HOLD_OFF_MARGIN;
+        let hold_off =
+            self.plan.settings.longest_grant_lifetime(members).micros() + HOLD_OFF_MARGIN;
         self.push(self.now + hold_off, FleetEvent::MoveParts { vm });
     }
 
--- a/crates/clementinepond_measure/src/experiment/limits/policy.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/policy.rs
@@ -1,8 +1,8 @@
 //! The policies that are compared.
 
 use clementinepond_decide::limit::{
-    AccountLimit, AdmissionAsk, LimitEffect, LimitEvent, LimitSettings, LimitState, PartFraction,
-    RefusalReason, TicketId, reduce,
+    AccountLimit, AdmissionRequest, LimitEffect, LimitEvent, LimitSettings, LimitState,
+    PartFraction, RefusalReason, TicketId, reduce,
 };
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
 impl StaticSplit {
     fn handle(&mut self, event: LimitEvent, now: LocalTime) -> Vec<LimitEffect> {
         match event {
-            LimitEvent::Ask(ask) => return vec![self.ask(ask, now)],
+            LimitEvent::Request(ask) => return vec![self.ask(ask, now)],
             LimitEvent::Progress { ticket, generated } => self.spend(ticket, generated),
             LimitEvent::Started { ticket } => self.spend(ticket, TokenCount::ZERO),
             LimitEvent::Settle { ticket, used } => self.settle(ticket, used, now),
@@ -109,7 +109,7 @@
         bucket.refilled_at = now;
     }
 
-    fn ask(&mut self, ask: AdmissionAsk, now: LocalTime) -> LimitEffect {
+    fn ask(&mut self, ask: AdmissionRequest, now: LocalTime) -> LimitEffect {
         self.refill(&ask.account, now);
         let cost = ask.prompt + ask.output;
         let bucket = self.buckets.entry(ask.account.clone()).or_default();
--- a/crates/clementinepond_measure/src/experiment/limits/roster.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/roster.rs
@@ -1,6 +1,6 @@
 //! The rosters of a simulated fleet, changed as the platform would.
 
-use clementinepond_decide::limit::{RemoteCentre, RosterView};
+use clementinepond_decide::limit::{RemoteDataCentre, RosterView};
 use clementinepond_types::{DataCentreId, Epoch, PartCount, VmId};
 use std::collections::BTreeMap;
 
@@ -110,7 +110,7 @@
                 .filter(|other| *other != centre)
                 .filter_map(|other| {
                     let data_centre: DataCentreId = format!("dc-{other}").parse().ok()?;
-                    Some(RemoteCentre {
+                    Some(RemoteDataCentre {
                         data_centre,
                         members: self.members(other),
                     })
--- a/crates/clementinepond_measure/tests/limits.rs
+++ b/crates/clementinepond_measure/tests/limits.rs
@@ -36,7 +36,7 @@
                 vm: order[index % 3],
             });
         }
-        LimitMutation::ConfirmEarly | LimitMutation::ForgetEarlierRoster => {
+        LimitMutation::ConfirmEarly | LimitMutation::IgnoreEarlierLoans => {
             plan = chaos(seed, &[5, 2], 30 * SECOND);
             plan.stops_at_breach = true;
             plan.network = NetworkPlan::healthy();
@@ -85,8 +85,8 @@
 }
 
 guards! {
-    a_lapsed_lot_is_dropped: KeepLapsedLots from 0,
-    a_lapsed_loan_is_dropped: KeepLapsedLoans from 0,
+    a_lapsed_lot_is_dropped: KeepExpiredTokenLoans from 0,
+    a_lapsed_loan_is_dropped: KeepExpiredPartLoans from 0,
     a_deadline_counts_from_the_request: CountFromReceipt from 3,
     clocks_drift: IgnoreDrift from 0,
     capacity_moves_with_tokens: LendWithoutCapacity from 0,
@@ -94,7 +94,7 @@
     a_narrower_loan_is_confirmed_late: ConfirmEarly from 3,
     a_repeated_grant_counts_once: AddRepeatedGrants from 0,
     a_repeated_return_counts_once: AddRepeatedReturns from 0,
-    loans_of_two_rosters_share_a_list: ForgetEarlierRoster from 0,
+    loans_of_two_rosters_share_a_list: IgnoreEarlierLoans from 0,
     a_restarted_vm_waits: SkipStartWait from 1,
     a_restarted_lender_is_not_trusted: TrustRestartedLender from 0,
     a_lent_slice_is_not_used: KeepLentSlice from 0,
