--- a/crates/clementinepond_decide/src/roster/assign.rs
+++ b/crates/clementinepond_decide/src/roster/assign.rs
@@ -4,11 +4,11 @@
 use clementinepond_types::{PartCount, VmId};
 use std::collections::BTreeSet;
 
-/// Gives the parts that nobody holds to the eligible members with the fewest.
+/// Assigns each unheld part to the eligible member that then holds the fewest.
 pub(super) fn assign_unheld(table: &mut RosterTable, eligible: &BTreeSet<VmId>) {
     let mut unheld = table.unheld().get();
     while unheld > 0 {
-        let Some(member) = fewest(table, eligible) else {
+        let Some(member) = member_with_fewest_parts(table, eligible) else {
             return;
         };
         member.parts = member.parts.next();
@@ -16,7 +16,7 @@
     }
 }
 
-fn fewest<'a>(
+fn member_with_fewest_parts<'a>(
     table: &'a mut RosterTable,
     eligible: &BTreeSet<VmId>,
 ) -> Option<&'a mut RosterMember> {
@@ -28,11 +28,12 @@
         .map(|(_, member)| member)
 }
 
-/// Returns how many parts a member should keep, when it should release some.
+/// Returns how many parts a member should keep, or `None` when it should
+/// release none.
 ///
-/// Only the member with the most parts releases, so that members do not all
-/// write at once.
-pub(super) fn excess_kept(
+/// Only the member with the most parts releases some, so that members do not
+/// all write at once.
+pub(super) fn parts_after_release(
     table: &RosterTable,
     own: &VmId,
     live: &BTreeSet<VmId>,
--- a/crates/clementinepond_decide/src/roster/contact.rs
+++ b/crates/clementinepond_decide/src/roster/contact.rs
@@ -1,21 +1,23 @@
-//! Whether this VM may use the parts that its table gives to it.
+//! Decides whether this VM may use the parts that its table assigns to it.
 //!
-//! A VM that the platform's list shows as gone for the hold-off is taken to
+//! A VM that is missing from the platform's list for the hold-off is assumed to
 //! have stopped. A VM that was paused for longer than the validity may have
-//! been removed meanwhile, so it uses nothing until it has either written the
-//! table itself, which makes a remover's conditional update fail, or been in
-//! contact with members for the settle time, which brings it their news.
+//! been removed in the meantime. It uses no parts until it has either written
+//! the table itself, which makes a remover's conditional update fail, or been
+//! in contact with members after the settle time, which brings it their
+//! updates.
 
 use super::{ContactRule, MembershipStage, RosterMutation, RosterState};
 use clementinepond_types::{LocalTime, PartCount, VmId};
 
 impl RosterState {
-    /// Notes that the process runs; detects a pause.
-    pub(super) fn note_run(&mut self, now: LocalTime) {
-        let lapse = self.valid_until();
+    /// Records that the process runs, and suspends the use of parts after a
+    /// pause.
+    pub(super) fn record_run(&mut self, now: LocalTime) {
+        let expiry = self.valid_until();
         if self.own_entry().is_some()
             && self.suspended.is_none()
-            && now > lapse
+            && now > expiry
             && !self.mutated(RosterMutation::UseAfterPause)
         {
             self.suspended = Some(now);
@@ -24,17 +26,17 @@
         self.end_suspension();
     }
 
-    /// Returns the moment at which the use of parts lapses.
+    /// Returns the time at which the use of parts expires.
     pub(super) fn valid_until(&self) -> LocalTime {
         if self.mutated(RosterMutation::UseAfterPause) {
             return LocalTime::NEVER;
         }
         let running = self.last_run + self.settings.validity;
-        running.min(self.contact_lapse())
+        running.min(self.contact_expiry())
     }
 
-    /// Returns the moment at which the contact that the rule asks for lapses.
-    fn contact_lapse(&self) -> LocalTime {
+    /// Returns the time at which the contact that the rule requires expires.
+    fn contact_expiry(&self) -> LocalTime {
         match self.settings.contact_rule {
             ContactRule::AfterPause => LocalTime::NEVER,
             ContactRule::AnyPeer => self.contact_until(1),
@@ -42,10 +44,10 @@
         }
     }
 
-    /// Returns whether an own update of the table is needed as contact.
+    /// Returns whether this VM should write its table as proof of contact.
     pub(super) fn needs_contact(&self, now: LocalTime) -> bool {
         let soon = now + self.settings.validity.fraction(1, 2);
-        self.suspended.is_some() || self.contact_lapse() < soon
+        self.suspended.is_some() || self.contact_expiry() < soon
     }
 
     fn others(&self) -> usize {
@@ -53,7 +55,8 @@
             .map_or(0, |object| object.value.members.len().saturating_sub(1))
     }
 
-    /// Returns until when contact with this many members, or the platform, counts.
+    /// Returns the time until which contact with this many members, or with the
+    /// platform, is recent enough.
     fn contact_until(&self, needed: usize) -> LocalTime {
         let Some(object) = self.own_table() else {
             return LocalTime::ORIGIN;
@@ -61,32 +64,33 @@
         if self.others() == 0 && self.mutated(RosterMutation::TrustWhenAlone) {
             return LocalTime::NEVER;
         }
-        let mut moments: Vec<LocalTime> = self
+        let mut times: Vec<LocalTime> = self
             .contacts
             .iter()
             .filter(|(vm, _)| object.value.members.contains_key(*vm))
-            .map(|(_, &moment)| moment)
+            .map(|(_, &time)| time)
             .collect();
-        moments.sort_unstable();
-        let peers = moments
+        times.sort_unstable();
+        let peers = times
             .len()
             .checked_sub(needed.max(1))
-            .and_then(|index| moments.get(index))
+            .and_then(|index| times.get(index))
             .copied();
         peers
             .max(self.platform_contact)
             .map_or(LocalTime::ORIGIN, |at| at + self.settings.validity)
     }
 
-    /// Notes that a peer with no newer table acknowledged a probe.
-    pub(super) fn note_contact(&mut self, vm: &VmId, sent: LocalTime) {
+    /// Records that a peer with no newer table acknowledged a probe sent at
+    /// `sent`.
+    pub(super) fn record_contact(&mut self, vm: &VmId, sent: LocalTime) {
         let known = self.contacts.entry(vm.clone()).or_insert(sent);
         *known = sent.max(*known);
         self.end_suspension();
     }
 
-    /// Notes that an own update of the table took effect.
-    pub(super) fn note_written(&mut self, sent: LocalTime) {
+    /// Records that this VM's update of the table, sent at `sent`, took effect.
+    pub(super) fn record_written(&mut self, sent: LocalTime) {
         self.platform_contact = self.platform_contact.max(Some(sent));
         if self.suspended.is_some_and(|since| sent >= since) {
             self.suspended = None;
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Returns the parts that may be used now.
+    /// Returns the parts that this VM may use now.
     pub(super) fn usable_parts(&self) -> PartCount {
         if self.suspended.is_some() || self.is_leaving() {
             return PartCount::default();
@@ -123,13 +127,13 @@
         }
     }
 
-    /// Returns the fleet share that may be used now.
+    /// Returns the fleet share that this VM may use now.
     pub(super) fn usable_share(&self) -> PartCount {
         self.own_table()
             .map_or_else(PartCount::default, |object| object.value.share)
     }
 
-    /// Returns whether a graceful shutdown began.
+    /// Returns whether a graceful shutdown has begun.
     pub(super) fn is_leaving(&self) -> bool {
         matches!(
             self.stage,
--- a/crates/clementinepond_decide/src/roster/effect.rs
+++ b/crates/clementinepond_decide/src/roster/effect.rs
@@ -1,4 +1,4 @@
-//! What the roster asks its edge to do.
+//! Effects of the roster, carried out by the I/O layer.
 
 use super::{RosterMessage, RosterTable, ShareTable};
 use crate::configuration::ConfigurationDigest;
@@ -11,97 +11,97 @@
 pub struct UsableParts {
     /// Number that grows when parts or share change.
     pub change: u64,
-    /// Epoch of the table that gives the parts.
+    /// Epoch of the table that assigns the parts.
     pub epoch: Epoch,
-    /// Parts of the data centre's 1,024.
+    /// Parts of the data centre, of 1,024.
     pub parts: PartCount,
     /// Fleet share of the data centre, of 1,024.
     pub share: PartCount,
-    /// Moment after which the parts may not be used.
+    /// Time after which the parts may not be used.
     pub deadline: LocalTime,
 }
 
 /// Effect of the roster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RosterEffect {
-    /// Send a message to another VM.
+    /// Sends a message to another VM.
     Send {
         /// Receiver.
         to: VmId,
-        /// Message.
+        /// Message to send.
         message: RosterMessage,
     },
-    /// Send a message to an address from the settings.
+    /// Sends a message to an address from the settings.
     SendAddress {
         /// Address of a VM whose name is unknown.
         address: Box<str>,
-        /// Message.
+        /// Message to send.
         message: RosterMessage,
     },
-    /// Remember the address of a VM.
+    /// Stores the address of a VM.
     LearnAddress {
         /// Name of the VM.
         vm: VmId,
         /// Address of the VM.
         address: Box<str>,
     },
-    /// Read the table of the own data centre; answer with `TableRead`.
+    /// Reads the table of the own data centre; the answer is `TableRead`.
     ReadTable {
         /// Name of the object, of kind `roster`.
         data_centre: DataCentreId,
     },
-    /// Update the own table; answer with `TableStored`.
+    /// Updates the own table; the answer is `TableStored`.
     StoreTable {
         /// Version that the object must have; zero creates it.
         if_version: ObjectVersion,
-        /// New content.
+        /// New content of the object.
         table: RosterTable,
-        /// Moment after which the update must not be sent.
+        /// Time after which the update must not be sent.
         deadline: LocalTime,
     },
-    /// Watch all tables; answer with `TablesWatched`.
+    /// Watches all tables; the answer is `TablesWatched`.
     WatchTables {
-        /// Version after which changes are wanted.
+        /// Version after which changes are reported.
         from: ObjectVersion,
     },
-    /// List all tables; answer with `TablesWatched`.
+    /// Lists all tables; the answer is `TablesWatched`.
     ListTables,
-    /// Read the fleet shares; answer with `SharesRead`.
+    /// Reads the fleet shares; the answer is `SharesRead`.
     ReadShares,
-    /// Update the fleet shares; answer with `SharesStored`.
+    /// Updates the fleet shares; the answer is `SharesStored`.
     StoreShares {
         /// Version that the object must have; zero creates it.
         if_version: ObjectVersion,
-        /// New content.
+        /// New content of the object.
         table: ShareTable,
-        /// Moment after which the update must not be sent.
+        /// Time after which the update must not be sent.
         deadline: LocalTime,
     },
-    /// Read the platform's list of VMs; answer with `VmsListed`.
+    /// Reads the platform's list of VMs; the answer is `VmsListed`.
     ListVms,
-    /// Use these parts and no others. Parts gained start with empty buckets.
-    /// After each new `change`, answer with `PartsStopped` once no grant or
-    /// loan beyond it is left.
+    /// Allows the use of these parts and no others. Parts gained start with
+    /// empty buckets. After each new `change`, the answer is `PartsStopped`
+    /// once no grant or loan beyond these parts is left.
     UseParts(UsableParts),
-    /// The tables or the live members changed.
+    /// Reports that the tables or the live members changed.
     MembersChanged {
         /// Live members of the own data centre, this VM included.
         local: Vec<VmId>,
         /// Members of other data centres.
         remote: BTreeMap<DataCentreId, Vec<VmId>>,
     },
-    /// Relay duty began or ended.
+    /// Reports that this VM became a relay or stopped being one.
     RelayChanged {
-        /// Whether this VM has relay duty.
+        /// Whether this VM is a relay now.
         active: bool,
     },
-    /// A peer's heartbeat carried this configuration digest.
+    /// Reports the configuration digest in a peer's heartbeat.
     PeerDigest {
         /// Sender of the heartbeat.
         from: VmId,
-        /// Its digest.
+        /// Configuration digest of the sender.
         digest: ConfigurationDigest,
     },
-    /// The graceful shutdown may end; this VM holds no parts.
+    /// Reports that the graceful shutdown may end; this VM holds no parts.
     Released,
 }
--- a/crates/clementinepond_decide/src/roster/event.rs
+++ b/crates/clementinepond_decide/src/roster/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to the roster.
+//! Events that the roster handles.
 
 use super::{RosterMessage, RosterTable, ShareTable, UpdateNonce, WatchAnswer};
 use crate::configuration::ConfigurationDigest;
@@ -12,11 +12,11 @@
 pub enum VmPresence {
     /// The VM runs.
     Live,
-    /// The VM was asked to stop.
+    /// The VM was requested to stop.
     Leaving,
 }
 
-/// One line of the platform's lagging list.
+/// Entry of the platform's list of VMs, which lags behind their actual state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// Name of the VM.
@@ -25,43 +25,43 @@
     pub state: VmPresence,
 }
 
-/// Event of the roster.
+/// Event that the roster handles.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RosterEvent {
-    /// Periodic work; at least four times a heartbeat period.
+    /// Periodic work is due; sent at least 4 times per heartbeat period.
     Tick,
-    /// A message of another VM arrived.
+    /// A message from another VM arrived.
     Received {
         /// Sender.
         from: VmId,
-        /// Message.
+        /// Received message.
         message: RosterMessage,
     },
-    /// The read of the own table was answered.
+    /// A read of the own table was answered.
     TableRead(ReadReply<RosterTable>),
-    /// The update of the own table was answered.
+    /// An update of the own table was answered.
     TableStored {
-        /// Number of the update.
+        /// Nonce of the update.
         nonce: UpdateNonce,
-        /// Answer.
+        /// Answer of the platform.
         reply: StoreReply<RosterTable>,
     },
-    /// The watch or list of all tables was answered.
+    /// A watch or list of all tables was answered.
     TablesWatched(WatchAnswer<RosterTable>),
-    /// The read of the fleet shares was answered.
+    /// A read of the fleet shares was answered.
     SharesRead(ReadReply<ShareTable>),
-    /// The update of the fleet shares was answered.
+    /// An update of the fleet shares was answered.
     SharesStored(StoreReply<ShareTable>),
-    /// The platform's list was answered; nothing when no answer came.
+    /// A read of the platform's list ended; none when no answer came.
     VmsListed(Option<Vec<ListedVm>>),
-    /// No grant or loan is left beyond the `UseParts` with this number.
+    /// No grant or loan beyond the `UseParts` with this number is left.
     PartsStopped {
-        /// Number of the change.
+        /// Number of the change in `UseParts`.
         change: u64,
     },
-    /// The configuration in force gives the data centre this fleet share.
+    /// The active configuration assigns this fleet share to the data centre.
     ShareTarget(PartCount),
-    /// The configuration part has a new digest to send in heartbeats.
+    /// The configuration has a new digest to send in heartbeats.
     DigestChanged(ConfigurationDigest),
     /// A graceful shutdown began.
     ShutdownStarted,
--- a/crates/clementinepond_decide/src/roster/exchange.rs
+++ b/crates/clementinepond_decide/src/roster/exchange.rs
@@ -1,22 +1,22 @@
-//! Heartbeats and what they carry.
+//! Heartbeats and the data that they carry.
 
-use super::heard::{age_of, moment_of};
+use super::last_seen::{age_of, time_of};
 use super::plan::{joinable_at, own_request};
-use super::state::{AskedTable, SentProbe};
+use super::state::{RequestedTable, SentProbe};
 use super::store::adopt_table;
 use super::{
-    MembershipStage, PeerHeartbeat, PlatformSighting, RosterDigest, RosterEffect, RosterMessage,
+    MembershipStage, PeerHeartbeat, RelayContact, RosterDigest, RosterEffect, RosterMessage,
     RosterState,
 };
 use clementinepond_types::{DataCentreId, LocalTime, ObjectVersion, TimeSpan, VmId};
 use std::collections::BTreeSet;
 
-/// Key that ranks relay candidates.
+/// Rendezvous key that ranks relay candidates.
 pub(super) const RELAY_KEY: &str = "relay";
-/// Platform sightings that one heartbeat carries.
-const SIGHTING_LIMIT: usize = 3;
-/// Probes remembered while their acknowledgement is out.
-const PROBE_LIMIT: usize = 64;
+/// Most relay contacts that one heartbeat carries.
+const RELAY_CONTACTS_LIMIT: usize = 3;
+/// Most unacknowledged probes that are tracked.
+const MAX_PENDING_PROBES: usize = 64;
 
 /// Sends the probes of one round.
 pub(super) fn drive_round(
@@ -32,7 +32,7 @@
         effects.push(RosterEffect::Send { to, message });
     }
     probe_seeds(state, now, effects);
-    ask_to_join(state, now, effects);
+    request_join(state, now, effects);
 }
 
 /// Returns the members to probe this round.
@@ -50,7 +50,7 @@
     targets
 }
 
-/// Returns the relay candidates, best first.
+/// Returns the live relay candidates, best first.
 pub(super) fn relay_candidates(state: &RosterState, now: LocalTime) -> Vec<VmId> {
     state
         .relay_order
@@ -91,7 +91,7 @@
         sent: now,
     };
     state.probes.insert(number, probe);
-    while state.probes.len() > PROBE_LIMIT {
+    while state.probes.len() > MAX_PENDING_PROBES {
         state.probes.pop_first();
     }
     RosterMessage::Probe {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Asks the addresses of the settings while no member is known or heard.
+/// Probes the addresses from the settings while no other member is live.
 fn probe_seeds(state: &RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
     let is_alone = state.live_members(now).len() <= 1;
     if !is_alone {
@@ -121,7 +121,7 @@
     }
 }
 
-fn ask_to_join(state: &RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
+fn request_join(state: &RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
     let Some(object) = state.own_table() else {
         return;
     };
@@ -146,20 +146,20 @@
     own_heartbeat(state, !knows_receiver, now)
 }
 
-fn own_heartbeat(state: &RosterState, is_stranger: bool, now: LocalTime) -> PeerHeartbeat {
-    let needs_address = is_stranger || state.own_entry().is_none();
-    let heard = state.own_table().map(|object| {
+fn own_heartbeat(state: &RosterState, is_unknown_receiver: bool, now: LocalTime) -> PeerHeartbeat {
+    let needs_address = is_unknown_receiver || state.own_entry().is_none();
+    let last_seen = state.own_table().map(|object| {
         state
-            .heard
-            .list(object.version, &object.value, &state.keeping, now)
+            .last_seen
+            .list(object.version, &object.value, &state.complying, now)
     });
     PeerHeartbeat {
         data_centre: state.own.data_centre.clone(),
         incarnation: state.own.incarnation,
         address: needs_address.then(|| state.own.address.clone()),
         rosters: digests(state),
-        heard,
-        platform: sightings(state, now),
+        last_seen,
+        relay_contacts: relay_contacts(state, now),
         configuration: state.digest.clone(),
     }
 }
@@ -175,22 +175,22 @@
         .collect()
 }
 
-fn sightings(state: &RosterState, now: LocalTime) -> Vec<PlatformSighting> {
-    let mut sightings: Vec<_> = state
-        .sightings
+fn relay_contacts(state: &RosterState, now: LocalTime) -> Vec<RelayContact> {
+    let mut relay_contacts: Vec<_> = state
+        .relay_contacts
         .iter()
-        .map(|(vm, &at)| PlatformSighting {
+        .map(|(vm, &at)| RelayContact {
             vm: vm.clone(),
             age: age_of(at, now),
         })
-        .filter(|sighting| moment_of(sighting.age, now).is_some())
+        .filter(|contact| time_of(contact.age, now).is_some())
         .collect();
-    sightings.sort_by_key(|sighting| sighting.age);
-    sightings.truncate(SIGHTING_LIMIT);
-    sightings
+    relay_contacts.sort_by_key(|contact| contact.age);
+    relay_contacts.truncate(RELAY_CONTACTS_LIMIT);
+    relay_contacts
 }
 
-/// Takes in a message of a peer.
+/// Handles a message from a peer.
 pub(super) fn received(
     state: &mut RosterState,
     from: VmId,
@@ -249,7 +249,7 @@
     if let Some(sent) = state.probes.remove(&number)
         && is_current
     {
-        state.note_contact(from, sent.sent);
+        state.record_contact(from, sent.sent);
     }
 }
 
@@ -267,12 +267,12 @@
         });
     }
     if heartbeat.data_centre == state.own.data_centre {
-        state.heard.note(from, now);
-        merge_heard(state, heartbeat.heard.as_ref(), now);
-        merge_sightings(state, &heartbeat.platform, now);
+        state.last_seen.record(from, now);
+        merge_last_seen(state, heartbeat.last_seen.as_ref(), now);
+        merge_relay_contacts(state, &heartbeat.relay_contacts, now);
     }
     for digest in heartbeat.rosters {
-        ask_for_table(state, from, &digest, now, effects);
+        request_table(state, from, &digest, now, effects);
     }
     if let Some(digest) = heartbeat.configuration {
         effects.push(RosterEffect::PeerDigest {
@@ -282,30 +282,30 @@
     }
 }
 
-fn merge_heard(state: &mut RosterState, list: Option<&super::HeardList>, now: LocalTime) {
+fn merge_last_seen(state: &mut RosterState, list: Option<&super::LastSeenList>, now: LocalTime) {
     let own: &DataCentreId = &state.own.data_centre;
     if let (Some(list), Some(object)) = (list, state.rosters.get(own))
         && list.version == object.version
     {
         state
-            .heard
-            .merge(list, &object.value, &mut state.keeping, now);
+            .last_seen
+            .merge(list, &object.value, &mut state.complying, now);
     }
 }
 
-fn merge_sightings(state: &mut RosterState, sightings: &[PlatformSighting], now: LocalTime) {
-    for sighting in sightings {
-        let Some(at) = moment_of(sighting.age, now) else {
+fn merge_relay_contacts(state: &mut RosterState, relay_contacts: &[RelayContact], now: LocalTime) {
+    for contact in relay_contacts {
+        let Some(at) = time_of(contact.age, now) else {
             continue;
         };
-        if sighting.vm != state.own.vm {
-            let known = state.sightings.entry(sighting.vm.clone()).or_insert(at);
+        if contact.vm != state.own.vm {
+            let known = state.relay_contacts.entry(contact.vm.clone()).or_insert(at);
             *known = at.max(*known);
         }
     }
 }
 
-fn ask_for_table(
+fn request_table(
     state: &mut RosterState,
     from: &VmId,
     digest: &RosterDigest,
@@ -316,16 +316,19 @@
         .rosters
         .get(&digest.data_centre)
         .map_or_else(ObjectVersion::default, |object| object.version);
-    let asked = state.asked.get(&digest.data_centre);
-    let is_asked = asked.is_some_and(|asked| digest.version <= asked.version && now < asked.retry);
-    if digest.version <= known || is_asked {
+    let requested = state.requested.get(&digest.data_centre);
+    let is_requested = requested
+        .is_some_and(|requested| digest.version <= requested.version && now < requested.retry);
+    if digest.version <= known || is_requested {
         return;
     }
-    let asked = AskedTable {
+    let requested = RequestedTable {
         version: digest.version,
         retry: now + TimeSpan::from_secs(1),
     };
-    state.asked.insert(digest.data_centre.clone(), asked);
+    state
+        .requested
+        .insert(digest.data_centre.clone(), requested);
     effects.push(RosterEffect::Send {
         to: from.clone(),
         message: RosterMessage::TableRequest {
--- a/crates/clementinepond_decide/src/roster/identity.rs
+++ b/crates/clementinepond_decide/src/roster/identity.rs
@@ -4,7 +4,7 @@
 use derive_more::{Display, FromStr};
 use serde::{Deserialize, Serialize};
 
-/// Random number that one VM process draws when it starts.
+/// Random number that a VM process draws when it starts.
 #[derive(
     Debug,
     Display,
@@ -29,14 +29,14 @@
         Self(number)
     }
 
-    /// Returns the plain number.
+    /// Returns the number.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 }
 
-/// Number of one update by one VM process; no two updates share it.
+/// Identifies one update by one VM process; no two updates share it.
 #[derive(
     Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -48,7 +48,7 @@
     pub number: u64,
 }
 
-/// What a VM process knows about itself.
+/// Identity of the local VM process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnIdentity {
     /// Name of the VM.
@@ -57,6 +57,6 @@
     pub data_centre: DataCentreId,
     /// Address that other VMs connect to.
     pub address: Box<str>,
-    /// Number of this process.
+    /// Incarnation of this process.
     pub incarnation: IncarnationId,
 }
--- a/crates/clementinepond_decide/src/roster/message.rs
+++ b/crates/clementinepond_decide/src/roster/message.rs
@@ -15,42 +15,45 @@
     pub version: ObjectVersion,
 }
 
-/// Time since each member was heard, in the order of one table's members.
+/// Time since each member was last seen, in the order of one table's members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardList {
-    /// Version of the table that gives the order.
+pub struct LastSeenList {
+    /// Version of the table that defines the order.
     pub version: ObjectVersion,
-    /// Quarter seconds since each member was heard, 255 for longer.
+    /// Quarter seconds since each member was last seen; 255 when longer or
+    /// unknown.
     pub ages: Vec<u8>,
-    /// One bit a member: it keeps to this version's fleet share.
-    pub keeping: Vec<u8>,
+    /// One bit per member, set when it uses no more than the fleet share of
+    /// this version.
+    pub complying: Vec<u8>,
 }
 
 /// Time since a relay last had an answer from the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlatformSighting {
-    /// The relay.
+pub struct RelayContact {
+    /// Name of the relay.
     pub vm: VmId,
-    /// Quarter seconds since the answer.
+    /// Quarter seconds since the answer; 255 when longer or unknown.
     pub age: u8,
 }
 
-/// What a VM tells with each probe and acknowledgement.
+/// Data that a VM sends with each probe and acknowledgement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// Data centre of the sender.
     pub data_centre: DataCentreId,
     /// Process of the sender.
     pub incarnation: IncarnationId,
-    /// Address of the sender, unless the table holds it.
+    /// Address of the sender; none when the receiver can take it from a table.
     pub address: Option<Box<str>>,
     /// Versions of the tables that the sender has.
     pub rosters: Vec<RosterDigest>,
-    /// Members of the sender's data centre, as heard.
-    pub heard: Option<HeardList>,
+    /// When the sender last saw the members of its data centre; none while it
+    /// knows no table.
+    pub last_seen: Option<LastSeenList>,
     /// Relays of the sender's data centre with recent platform contact.
-    pub platform: Vec<PlatformSighting>,
-    /// Digest of the sender's configuration.
+    pub relay_contacts: Vec<RelayContact>,
+    /// Digest of the sender's configuration; none before it has one.
     pub configuration: Option<ConfigurationDigest>,
 }
 
@@ -68,27 +71,27 @@
 /// Message between two VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RosterMessage {
-    /// Asks for an acknowledgement.
+    /// Requests an acknowledgement.
     Probe {
-        /// Number of the probe.
+        /// Number of the probe; 0 for a probe to an address from the settings.
         number: u64,
-        /// News of the sender.
+        /// Heartbeat data of the sender.
         heartbeat: PeerHeartbeat,
     },
     /// Acknowledges a probe.
     Ack {
-        /// Number of the probe.
+        /// Number of the probe; 0 for a probe to an address from the settings.
         number: u64,
-        /// News of the sender.
+        /// Heartbeat data of the sender.
         heartbeat: PeerHeartbeat,
     },
-    /// Asks for the newest table of a data centre.
+    /// Requests the newest table of a data centre.
     TableRequest {
         /// Data centre of the table.
         data_centre: DataCentreId,
     },
-    /// Carries a table.
+    /// Sends a table.
     Table(VersionedObject<RosterTable>),
-    /// Asks a relay to add the sender.
+    /// Requests that a relay add the sender to the table.
     Join(JoinRequest),
 }
--- a/crates/clementinepond_decide/src/roster/plan.rs
+++ b/crates/clementinepond_decide/src/roster/plan.rs
@@ -1,9 +1,11 @@
-//! The next update of the own table.
+//! Plans the next update of the own table.
 //!
-//! Any member writes its own release. Only a relay adds others, removes VMs
-//! that are gone and gives out parts, so that members do not race.
+//! Any member writes its own release. Only a relay adds other VMs and removes
+//! those that are gone. Unheld parts are distributed by relays, and by VMs that
+//! join, release parts, leave or restore a missing table, so that members do
+//! not race.
 
-use super::assign::{assign_unheld, excess_kept};
+use super::assign::{assign_unheld, parts_after_release};
 use super::share::plan_share;
 use super::state::PartRelease;
 use super::{
@@ -13,7 +15,8 @@
 use clementinepond_types::{Epoch, LocalTime, ObjectVersion, PartCount, VmId};
 use std::collections::BTreeMap;
 
-/// Returns the next content of the own table, when it should change.
+/// Returns the next content of the own table, or `None` when no update is
+/// needed.
 pub(super) fn plan_table(state: &mut RosterState, now: LocalTime) -> Option<RosterTable> {
     let known = state.own_table().map(|object| object.value.clone());
     let mut table = match &known {
@@ -27,7 +30,7 @@
         remove_gone(state, &mut table, now);
         plan_share(state, &mut table);
     }
-    give_out(state, &mut table, now);
+    distribute_unheld(state, &mut table, now);
     let is_changed = known.as_ref() != Some(&table);
     let is_restored = state.table_missing && state.own_entry().is_some();
     if !is_changed && !is_restored && !wants_confirmation(state, now) {
@@ -52,7 +55,8 @@
     }
 }
 
-/// Returns whether a member writes an unchanged table to show that it runs.
+/// Returns whether a member writes an unchanged table to confirm that it still
+/// runs.
 fn wants_confirmation(state: &RosterState, now: LocalTime) -> bool {
     state.stage == MembershipStage::Member && state.needs_contact(now)
 }
@@ -70,7 +74,7 @@
     }
 }
 
-/// Returns the request that this VM sends to be added.
+/// Returns the request of this VM to be added.
 pub(super) fn own_request(state: &RosterState, now: LocalTime) -> JoinRequest {
     JoinRequest {
         address: state.own.address.clone(),
@@ -81,7 +85,7 @@
 
 /// Returns when this process may be added to the table.
 ///
-/// Grants of an earlier process under the same name must have lapsed.
+/// Grants of an earlier process under the same name must have expired.
 pub(super) fn joinable_at(state: &RosterState, table: &RosterTable) -> LocalTime {
     let is_replacing = table.members.contains_key(&state.own.vm);
     if is_replacing && !state.mutated(RosterMutation::JoinWithoutHoldOff) {
@@ -94,7 +98,7 @@
     let joinable = joinable_at(state, table);
     let has_others = table.members.keys().any(|vm| *vm != state.own.vm);
     if has_others {
-        now >= joinable + state.settings.join_patience
+        now >= joinable + state.settings.join_timeout
     } else {
         now >= joinable
     }
@@ -113,7 +117,7 @@
     }
 }
 
-/// Returns whether no grant is left beyond these parts.
+/// Returns whether no grant beyond these parts is left.
 fn has_stopped(state: &RosterState, keep: PartCount) -> bool {
     if state.mutated(RosterMutation::ReleaseBeforeStop) {
         return true;
@@ -139,17 +143,17 @@
 }
 
 fn add_joiners(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
-    for (vm, (request, asked)) in &state.joiners {
-        let is_recent = now.since(*asked) <= state.settings.retry_period;
+    for (vm, (request, received)) in &state.joiners {
+        let is_recent = now.since(*received) <= state.settings.retry_period;
         if is_recent && may_add(state, table, vm, request) {
             add_member(table, vm, request);
         }
     }
 }
 
-/// Returns whether grants of an earlier process of the VM have lapsed.
+/// Returns whether grants of an earlier process of the VM have expired.
 ///
-/// The sender may have asked because its own table is old.
+/// The sender may request to join only because its own table is old.
 fn may_add(state: &RosterState, table: &RosterTable, vm: &VmId, request: &JoinRequest) -> bool {
     !table.members.contains_key(vm)
         || request.running >= state.settings.rejoin_hold_off()
@@ -158,7 +162,9 @@
 
 fn remove_gone(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
     let list_limit = state.settings.list_period + state.settings.list_period;
-    let is_list_fresh = state.listed.is_some_and(|at| now.since(at) <= list_limit);
+    let is_list_fresh = state
+        .listed_at
+        .is_some_and(|at| now.since(at) <= list_limit);
     if !is_list_fresh || state.suspended.is_some() {
         return;
     }
@@ -167,7 +173,8 @@
         .retain(|vm, _| *vm == state.own.vm || !is_gone(state, vm, now));
 }
 
-/// Returns whether a VM has been absent and silent for the hold-off.
+/// Returns whether a VM has been missing from the list and silent for the
+/// hold-off.
 fn is_gone(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
     let Some(&absent) = state.absent.get(vm) else {
         return false;
@@ -175,14 +182,15 @@
     if state.mutated(RosterMutation::RemoveWithoutHoldOff) {
         return true;
     }
-    let heard = state.heard.moment(vm).unwrap_or(LocalTime::NEVER);
-    let is_silent = heard < LocalTime::NEVER && now >= heard + state.settings.removal_silence();
+    let last_seen = state.last_seen.get(vm).unwrap_or(LocalTime::NEVER);
+    let is_silent =
+        last_seen < LocalTime::NEVER && now >= last_seen + state.settings.removal_silence();
     let is_absent = now >= absent + state.settings.removal_absence();
     is_absent && (is_silent || state.mutated(RosterMutation::RemoveDespiteHeartbeat))
 }
 
-/// Gives the parts that nobody holds to live members.
-fn give_out(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
+/// Distributes unheld parts to live members.
+fn distribute_unheld(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
     let is_writer = state.relay
         || state.is_leaving()
         || state.release.is_some()
@@ -206,7 +214,8 @@
     assign_unheld(table, &eligible);
 }
 
-/// Begins the release of a portion, when this VM holds the most by far.
+/// Starts the release of a portion when this VM holds clearly more than its
+/// even share.
 pub(super) fn consider_release(state: &mut RosterState, now: LocalTime) {
     let is_ready = state.stage == MembershipStage::Member
         && state.suspended.is_none()
@@ -219,7 +228,7 @@
     let live = state.live_members(now);
     let keep = state
         .own_table()
-        .and_then(|object| excess_kept(&object.value, &state.own.vm, &live));
+        .and_then(|object| parts_after_release(&object.value, &state.own.vm, &live));
     state.release = keep.map(|keep| PartRelease {
         keep,
         written_on: None,
--- a/crates/clementinepond_decide/src/roster/reduce.rs
+++ b/crates/clementinepond_decide/src/roster/reduce.rs
@@ -1,25 +1,25 @@
-//! The reducer of the roster.
+//! Reducer of the roster.
 
-use super::duty::{drive_duty, tables_watched, vms_listed};
 use super::exchange::{drive_round, received};
 use super::plan::consider_release;
-use super::share::{drive_shares, note_keeping, shares_read, shares_stored};
+use super::relay::{drive_relay, tables_watched, vms_listed};
+use super::share::{drive_shares, record_compliance, shares_read, shares_stored};
 use super::store::{drive_table, table_read, table_stored};
 use super::{MembershipStage, RosterEffect, RosterEvent, RosterState, UsableParts};
 use clementinepond_types::{Epoch, LocalTime, VmId};
 use std::collections::BTreeMap;
 
-/// Takes in one event and returns what the edge must do.
+/// Handles one event and returns the effects for the I/O layer.
 pub fn reduce(state: &mut RosterState, event: RosterEvent, now: LocalTime) -> Vec<RosterEffect> {
     let mut effects = Vec::new();
     let was_suspended = state.suspended.is_some();
-    state.note_run(now);
+    state.record_run(now);
     if state.suspended.is_some() && !was_suspended {
         state.absent.clear();
     }
     apply(state, event, now, &mut effects);
     announce_parts(state, &mut effects);
-    note_keeping(state);
+    record_compliance(state);
     effects
 }
 
@@ -48,7 +48,7 @@
 }
 
 fn tick(state: &mut RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
-    drive_duty(state, now, effects);
+    drive_relay(state, now, effects);
     consider_release(state, now);
     drive_table(state, now, effects);
     drive_shares(state, now, effects);
@@ -113,7 +113,7 @@
     effects.push(RosterEffect::UseParts(usable));
 }
 
-/// Announces members when a table or a suspicion changed.
+/// Announces the members when a table or the set of live members changed.
 fn announce_members(state: &mut RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
     let local: Vec<VmId> = state.live_members(now).into_iter().collect();
     let remote: BTreeMap<_, _> = state
--- a/crates/clementinepond_decide/src/roster/duty.rs
+++ b/crates/clementinepond_decide/src/roster/relay.rs
@@ -1,4 +1,4 @@
-//! Relay duty: the calls to the platform that one VM makes for all.
+//! Relay: the VM that calls the platform on behalf of its data centre.
 
 use super::exchange::relay_candidates;
 use super::state::WatchStage;
@@ -7,12 +7,17 @@
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use std::collections::BTreeSet;
 
-/// Time after which a watch without answer counts as lost.
-const WATCH_LIMIT: TimeSpan = TimeSpan::from_secs(90);
+/// Time after which an unanswered watch counts as lost.
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_secs(90);
 
-/// Decides on relay duty and starts the calls that it brings.
-pub(super) fn drive_duty(state: &mut RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
-    let active = has_duty(state, now);
+/// Decides whether this VM is a relay and, if so, starts the calls that are
+/// due.
+pub(super) fn drive_relay(
+    state: &mut RosterState,
+    now: LocalTime,
+    effects: &mut Vec<RosterEffect>,
+) {
+    let active = should_relay(state, now);
     if active != state.relay {
         state.relay = active;
         state.absent.clear();
@@ -30,8 +35,9 @@
     watch_tables(state, now, effects);
 }
 
-/// Returns whether this VM is the best candidate that reaches the platform.
-fn has_duty(state: &RosterState, now: LocalTime) -> bool {
+/// Returns whether this VM is the best relay candidate that reaches the
+/// platform.
+fn should_relay(state: &RosterState, now: LocalTime) -> bool {
     if state.own_entry().is_none() || state.is_leaving() {
         return false;
     }
@@ -42,25 +48,25 @@
     candidates
         .iter()
         .take(rank)
-        .all(|vm| !is_working(state, vm, now))
+        .all(|vm| !is_active_relay(state, vm, now))
 }
 
-fn is_working(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
+fn is_active_relay(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
     let settings = &state.settings;
     let has_platform = state
-        .sightings
+        .relay_contacts
         .get(vm)
         .is_some_and(|&at| now.since(at) <= settings.relay_takeover);
-    has_platform && state.heard.is_fresh(vm, settings.relay_silence, now)
+    has_platform && state.last_seen.is_fresh(vm, settings.relay_silence, now)
 }
 
 fn watch_tables(state: &mut RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
-    let (WatchStage::Idle { retry: due } | WatchStage::Waiting { lapse: due }) = state.watch;
+    let (WatchStage::Idle { retry: due } | WatchStage::Waiting { until: due }) = state.watch;
     if now < due {
         return;
     }
     state.watch = WatchStage::Waiting {
-        lapse: now + WATCH_LIMIT,
+        until: now + WATCH_TIMEOUT,
     };
     effects.push(if state.watch_too_old {
         RosterEffect::ListTables
@@ -71,7 +77,7 @@
     });
 }
 
-/// Takes in the answer to a watch or list of all tables.
+/// Applies the answer to a watch or list of all tables.
 pub(super) fn tables_watched(
     state: &mut RosterState,
     answer: WatchAnswer<RosterTable>,
@@ -82,7 +88,7 @@
         WatchAnswer::Changes { version, changes } => {
             state.watch_from = version.max(state.watch_from);
             state.watch_too_old = false;
-            note_sighting(state, now);
+            record_relay_contact(state, now);
             for change in changes {
                 if let Some(object) = change.object {
                     adopt_table(state, object, now, effects);
@@ -101,13 +107,13 @@
     state.watch = WatchStage::Idle { retry };
 }
 
-/// Takes in the platform's list.
+/// Applies the platform's list of VMs.
 pub(super) fn vms_listed(state: &mut RosterState, list: Option<Vec<ListedVm>>, now: LocalTime) {
     let Some(list) = list else {
         return;
     };
-    note_sighting(state, now);
-    state.listed = Some(now);
+    record_relay_contact(state, now);
+    state.listed_at = Some(now);
     state.leaving = list
         .iter()
         .filter(|line| line.state == VmPresence::Leaving)
@@ -127,8 +133,8 @@
     }
 }
 
-fn note_sighting(state: &mut RosterState, now: LocalTime) {
+fn record_relay_contact(state: &mut RosterState, now: LocalTime) {
     if state.own_entry().is_some() {
-        state.sightings.insert(state.own.vm.clone(), now);
+        state.relay_contacts.insert(state.own.vm.clone(), now);
     }
 }
--- a/crates/clementinepond_decide/src/roster/rendezvous.rs
+++ b/crates/clementinepond_decide/src/roster/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing over members.
 //!
-//! Each key ranks all members by a hash of key and member, so a change of one
-//! member moves only the keys that it held.
+//! Each key ranks all members by a hash of key and member, so that a change of
+//! one member moves only the keys that it held.
 
 use super::RosterTable;
 use clementinepond_types::VmId;
@@ -26,7 +26,8 @@
     members
 }
 
-/// Returns the member with the largest weight for the key.
+/// Returns the member with the largest weight for the key; none for an empty
+/// table.
 #[must_use]
 pub fn first_member<'a>(table: &'a RosterTable, key: &str) -> Option<&'a VmId> {
     table
--- a/crates/clementinepond_decide/src/roster/settings.rs
+++ b/crates/clementinepond_decide/src/roster/settings.rs
@@ -3,23 +3,24 @@
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Evidence that a VM needs to go on using its parts.
+/// Evidence of contact that a VM needs in order to keep using its parts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ContactRule {
-    /// A VM that ran without pause needs none; after a pause, one contact.
+    /// None for a VM that ran without pause; one contact after a pause.
     #[default]
     AfterPause,
     /// Contact with the platform or any other member within the validity.
     AnyPeer,
-    /// Contact with the platform or half of the other members within it.
+    /// Contact with the platform or half of the other members, rounded up,
+    /// within the validity.
     Majority,
 }
 
-/// Guard that a test switches off.
+/// Safety check that a test disables to show that it is needed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RosterMutation {
-    /// All guards work.
+    /// All checks are enabled.
     #[default]
     None,
     /// Releases parts that are still in use.
@@ -30,61 +31,67 @@
     RemoveDespiteHeartbeat,
     /// Uses parts after a pause without contact.
     UseAfterPause,
-    /// Needs no contact while the own table lists no other VM.
+    /// Requires no contact while the own table lists no other VM.
     TrustWhenAlone,
     /// Takes over the parts of an earlier process at once.
     JoinWithoutHoldOff,
-    /// Uses parts again while the fate of their release is unknown.
+    /// Uses parts again while the outcome of their release is unknown.
     ResumeOnUnknown,
-    /// Uses parts that an unanswered update would give.
+    /// Uses parts that an unanswered update would assign.
     UseOnUnknown,
     /// Replaces a table by an older one.
     AcceptOlder,
-    /// Gives up a fleet share that members still use.
+    /// Releases a fleet share that members still use.
     ShareBeforeStop,
 }
 
-/// Times and counts of the roster.
+/// Settings of the roster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RosterSettings {
     /// Time between two rounds of probes.
     pub heartbeat_period: TimeSpan,
-    /// Members probed a round.
+    /// Members probed per round, besides relay candidates and other data
+    /// centres.
     pub fan_out: usize,
-    /// Silence after which a member is suspected.
+    /// Time without contact after which a member no longer counts as live.
     pub suspicion: TimeSpan,
-    /// Silence after which a relay candidate is passed over by the next.
+    /// Time without contact after which the next relay candidate takes over.
     pub relay_silence: TimeSpan,
-    /// Time without platform contact after which the next relay helps.
+    /// Time without platform contact of a relay after which the next candidate
+    /// takes over.
     pub relay_takeover: TimeSpan,
-    /// Members that may have relay duty.
+    /// Number of relay candidates.
     pub relay_candidates: usize,
-    /// Time for which a VM that stops running keeps the use of its parts.
+    /// Time for which a VM that stops running may keep using its parts.
     pub validity: TimeSpan,
-    /// Evidence needed to use parts.
+    /// Evidence of contact needed to use parts.
     pub contact_rule: ContactRule,
-    /// Time after which news of one member has reached all connected ones.
+    /// Time after which an update of one member has reached all connected ones.
     pub settle: TimeSpan,
-    /// Bound of the lag of the platform's list.
+    /// Upper bound of the lag of the platform's list.
     pub list_lag: TimeSpan,
-    /// Longest grant or loan on parts.
+    /// Upper bound of the lifetime of a grant or loan on parts.
     pub loan_span: TimeSpan,
-    /// Bound of the difference of two clocks' rates, in parts per million.
+    /// Upper bound of the difference of two clocks' rates, in parts per
+    /// million; hold-offs are extended by twice this value.
     pub drift_ppm: u64,
     /// Time between two reads of the platform's list.
     pub list_period: TimeSpan,
-    /// Time after which a VM that asked to be added writes itself.
-    pub join_patience: TimeSpan,
-    /// Time between two tries at the platform.
+    /// Time after which a VM that requested to be added writes itself into the
+    /// table.
+    #[serde(rename = "join-patience")]
+    pub join_timeout: TimeSpan,
+    /// Time between two attempts to reach the platform.
     pub retry_period: TimeSpan,
-    /// Time after which an unanswered update counts as unknown.
+    /// Time after which a call to the platform counts as unanswered.
     pub answer_limit: TimeSpan,
-    /// Time between two releases of a portion by one VM.
+    /// Time between two checks whether this VM should release a portion of its
+    /// parts.
     pub balance_period: TimeSpan,
-    /// Addresses of VMs to ask when starting.
+    /// Addresses of VMs to contact while no other member is live.
     pub seeds: Vec<Box<str>>,
-    /// Guard switched off by a test.
+    /// Safety check that a test disables.
     #[serde(skip)]
     pub mutation: RosterMutation,
 }
@@ -105,7 +112,7 @@
             loan_span: TimeSpan::from_secs(10),
             drift_ppm: 1_000,
             list_period: TimeSpan::from_secs(5),
-            join_patience: TimeSpan::from_secs(5),
+            join_timeout: TimeSpan::from_secs(5),
             retry_period: TimeSpan::from_secs(2),
             answer_limit: TimeSpan::from_secs(10),
             balance_period: TimeSpan::from_secs(20),
@@ -118,29 +125,31 @@
 impl RosterSettings {
     /// Returns how long the platform's list must lack a VM before its removal.
     ///
-    /// A VM that has just started may not be listed for the list's lag.
+    /// A VM that has just started may be missing from the list for the list's
+    /// lag.
     #[must_use]
     pub fn removal_absence(&self) -> TimeSpan {
-        self.stretched(self.list_lag + self.list_period)
+        self.with_drift_margin(self.list_lag + self.list_period)
     }
 
     /// Returns how long a VM must be silent before its removal.
     ///
-    /// A VM that stops running keeps the use of its parts for the validity,
-    /// its grants live on for a loan, and news of it may be on its way for
-    /// the settle time.
+    /// A VM that stops running may use its parts for the validity, its grants
+    /// last for one loan, and an update about it may be on its way for the
+    /// settle time.
     #[must_use]
     pub fn removal_silence(&self) -> TimeSpan {
-        self.stretched(self.validity + self.loan_span + self.settle)
+        self.with_drift_margin(self.validity + self.loan_span + self.settle)
     }
 
-    /// Returns how long a new process waits for the grants of an earlier one.
+    /// Returns how long a new process waits for the grants of an earlier one to
+    /// expire.
     #[must_use]
     pub fn rejoin_hold_off(&self) -> TimeSpan {
-        self.stretched(self.loan_span)
+        self.with_drift_margin(self.loan_span)
     }
 
-    fn stretched(&self, span: TimeSpan) -> TimeSpan {
+    fn with_drift_margin(&self, span: TimeSpan) -> TimeSpan {
         span.fraction(1_000_000 + 2 * self.drift_ppm, 1_000_000)
     }
 }
--- a/crates/clementinepond_decide/src/roster/share.rs
+++ b/crates/clementinepond_decide/src/roster/share.rs
@@ -1,40 +1,41 @@
-//! The data centre's share of the fleet.
+//! Share of the fleet that the data centre holds.
 //!
-//! The fleet's table says what each data centre holds. A data centre lowers
-//! the share in its own table first, with a mark; when every member keeps to
-//! it, a relay lowers the fleet's table, then the mark goes. It raises the
-//! share in its own table only without a mark and from a fleet table at least
-//! as new as the one that cleared the last mark. So the members of a data
-//! centre never use more than the fleet's table gives to it.
+//! The fleet's table states what each data centre holds. To lower its share, a
+//! data centre first lowers it in its own table and marks the table as
+//! releasing. When every member complies, a relay lowers the share in the
+//! fleet's table, and then the mark is cleared. A data centre raises the share
+//! in its own table only without a mark and from a fleet table at least as new
+//! as the one that cleared the last mark. The members of a data centre
+//! therefore never use more than the fleet's table assigns to it.
 
 use super::{RosterEffect, RosterMutation, RosterState, RosterTable, ShareTable};
 use crate::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::{LocalTime, ObjectVersion};
 use std::collections::BTreeMap;
 
-/// Call about the fleet shares.
+/// Call to the platform about the fleet shares.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum ShareWork {
-    /// No call is out.
+pub(super) enum ShareCall {
+    /// No call is in progress.
     Idle {
-        /// When the next call may go out.
+        /// Earliest time of the next call.
         retry: LocalTime,
     },
-    /// A read is out.
+    /// A read is in progress.
     Reading {
-        /// When it counts as lost.
-        lapse: LocalTime,
+        /// Time after which it counts as lost.
+        until: LocalTime,
     },
-    /// An update is out.
+    /// An update is in progress.
     Storing {
-        /// New content.
+        /// New content of the object.
         table: ShareTable,
-        /// When it counts as lost.
-        lapse: LocalTime,
+        /// Time after which it counts as lost.
+        until: LocalTime,
     },
 }
 
-/// Changes the share in the own table.
+/// Plans the change of the share in the own table.
 pub(super) fn plan_share(state: &RosterState, table: &mut RosterTable) {
     let (Some(target), Some(shares)) = (state.share_target, &state.shares) else {
         return;
@@ -60,34 +61,34 @@
     }
 }
 
-/// Starts the next call about the fleet shares, when one is wanted.
+/// Starts the next call about the fleet shares when one is needed.
 pub(super) fn drive_shares(
     state: &mut RosterState,
     now: LocalTime,
     effects: &mut Vec<RosterEffect>,
 ) {
-    match &state.share_work {
-        ShareWork::Reading { lapse } | ShareWork::Storing { lapse, .. } if now < *lapse => return,
-        ShareWork::Idle { retry } if now < *retry => return,
+    match &state.share_call {
+        ShareCall::Reading { until } | ShareCall::Storing { until, .. } if now < *until => return,
+        ShareCall::Idle { retry } if now < *retry => return,
         _ => {}
     }
     let is_settled = is_settled(state);
     if !state.relay || state.own_entry().is_none() || is_settled {
         return;
     }
-    let lapse = now + state.settings.answer_limit;
+    let until = now + state.settings.answer_limit;
     match plan_shares(state) {
         Some(table) => {
             effects.push(RosterEffect::StoreShares {
                 if_version: shares_version(state),
                 table: table.clone(),
-                deadline: lapse,
+                deadline: until,
             });
-            state.share_work = ShareWork::Storing { table, lapse };
+            state.share_call = ShareCall::Storing { table, until };
         }
         None => {
             effects.push(RosterEffect::ReadShares);
-            state.share_work = ShareWork::Reading { lapse };
+            state.share_call = ShareCall::Reading { until };
         }
     }
 }
@@ -99,7 +100,7 @@
         .map_or_else(ObjectVersion::default, |shares| shares.version)
 }
 
-/// Returns whether the own table, the fleet's and the target agree.
+/// Returns whether the own table, the fleet's table and the target agree.
 fn is_settled(state: &RosterState) -> bool {
     let (Some(target), Some(object)) = (state.share_target, state.own_table()) else {
         return true;
@@ -128,7 +129,7 @@
     };
     let fleet = shares.share(&data_centre);
     let next = if table.share_releasing {
-        let may_lower = all_keep(state, &table);
+        let may_lower = all_comply(state, &table);
         may_lower.then_some(table.share)
     } else {
         let gain = target.saturating_sub(fleet).min(shares.unheld());
@@ -143,13 +144,13 @@
     Some(shares)
 }
 
-/// Returns whether every member is known to keep to the table's share.
-fn all_keep(state: &RosterState, table: &RosterTable) -> bool {
+/// Returns whether every member is known to use no more than the table's share.
+fn all_comply(state: &RosterState, table: &RosterTable) -> bool {
     state.mutated(RosterMutation::ShareBeforeStop)
-        || table.members.keys().all(|vm| state.keeping.contains(vm))
+        || table.members.keys().all(|vm| state.complying.contains(vm))
 }
 
-/// Takes in the answer to a read.
+/// Applies the answer to a read.
 pub(super) fn shares_read(state: &mut RosterState, reply: ReadReply<ShareTable>, now: LocalTime) {
     let found = match reply {
         ReadReply::Found(object) => {
@@ -162,17 +163,17 @@
         }
         ReadReply::Unavailable => false,
     };
-    idle(state, found, now);
+    end_call(state, found, now);
 }
 
-/// Takes in the answer to an update.
+/// Applies the answer to an update.
 pub(super) fn shares_stored(
     state: &mut RosterState,
     reply: StoreReply<ShareTable>,
     now: LocalTime,
 ) {
-    let found = match (reply, &state.share_work) {
-        (StoreReply::Stored { version }, ShareWork::Storing { table, .. }) => {
+    let found = match (reply, &state.share_call) {
+        (StoreReply::Stored { version }, ShareCall::Storing { table, .. }) => {
             let object = VersionedObject {
                 version,
                 value: table.clone(),
@@ -184,16 +185,16 @@
         // of the two takes effect; its conflict brings the newer table.
         _ => false,
     };
-    idle(state, found, now);
+    end_call(state, found, now);
 }
 
-fn idle(state: &mut RosterState, is_news: bool, now: LocalTime) {
-    let retry = if is_news {
+fn end_call(state: &mut RosterState, is_updated: bool, now: LocalTime) {
+    let retry = if is_updated {
         now
     } else {
         now + state.settings.list_period
     };
-    state.share_work = ShareWork::Idle { retry };
+    state.share_call = ShareCall::Idle { retry };
 }
 
 fn adopt_shares(state: &mut RosterState, object: VersionedObject<ShareTable>) -> bool {
@@ -204,15 +205,15 @@
     is_newer
 }
 
-/// Notes in the own bit whether this VM keeps to the table's share.
-pub(super) fn note_keeping(state: &mut RosterState) {
-    let keeps = state.own_entry().is_some()
+/// Records in the own bit whether this VM uses no more than the table's share.
+pub(super) fn record_compliance(state: &mut RosterState) {
+    let complies = state.own_entry().is_some()
         && state.outstanding_share <= state.usable_share()
         && state
             .announced
             .as_ref()
             .is_some_and(|announced| announced.share <= state.usable_share());
-    if keeps {
-        state.keeping.insert(state.own.vm.clone());
+    if complies {
+        state.complying.insert(state.own.vm.clone());
     }
 }
--- a/crates/clementinepond_decide/src/roster/state.rs
+++ b/crates/clementinepond_decide/src/roster/state.rs
@@ -1,8 +1,8 @@
-//! What a VM remembers about the rosters.
+//! State of the roster on one VM.
 
-use super::heard::HeardLog;
-use super::share::ShareWork;
-use super::store::TableWork;
+use super::last_seen::LastSeenTable;
+use super::share::ShareCall;
+use super::store::TableCall;
 use super::{
     JoinRequest, OwnIdentity, RosterMember, RosterMutation, RosterSettings, RosterTable,
     ShareTable, UpdateNonce, UsableParts,
@@ -12,25 +12,26 @@
 use clementinepond_types::{DataCentreId, LocalTime, ObjectVersion, PartCount, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Life cycle of this VM's membership.
+/// Stage of this VM's membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipStage {
-    /// Not a member yet, or not any more.
+    /// Not a member yet, or no longer one.
     Joining,
     /// The newest known table lists this process.
     Member,
-    /// A graceful shutdown waits for the release.
+    /// A graceful shutdown waits for the release of the parts.
     Releasing,
     /// The release is known to have taken effect.
     Released,
 }
 
-/// Release of a portion of the own parts.
+/// Release of a portion of this VM's parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PartRelease {
-    /// Parts that are kept.
+    /// Parts that the VM keeps.
     pub(super) keep: PartCount,
-    /// Version that the last update of the release was conditional on.
+    /// Table version that the latest update of the release was conditional on;
+    /// none before the first update.
     pub(super) written_on: Option<ObjectVersion>,
 }
 
@@ -39,87 +40,103 @@
 pub(super) struct SentProbe {
     /// Receiver.
     pub(super) to: VmId,
-    /// When it was sent.
+    /// Send time.
     pub(super) sent: LocalTime,
 }
 
-/// Request for a table that waits for its answer.
+/// Latest request for a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct AskedTable {
-    /// Version that was announced.
+pub(super) struct RequestedTable {
+    /// Table version that the peer announced.
     pub(super) version: ObjectVersion,
-    /// When another request may go out.
+    /// Earliest time of another request for this version.
     pub(super) retry: LocalTime,
 }
 
 /// Watch of all tables by a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchStage {
-    /// No call is out.
+    /// No call is in progress.
     Idle {
-        /// When the next call may go out.
+        /// Earliest time of the next call.
         retry: LocalTime,
     },
-    /// A call is out.
+    /// A call is in progress.
     Waiting {
-        /// When it counts as lost.
-        lapse: LocalTime,
+        /// Time after which it counts as lost.
+        until: LocalTime,
     },
 }
 
 /// Live members of the own data centre and members of the others.
 pub(super) type AnnouncedMembers = (Vec<VmId>, BTreeMap<DataCentreId, Vec<VmId>>);
 
-/// Everything that a VM knows about the rosters.
+/// State of the roster on one VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RosterState {
     pub(super) settings: RosterSettings,
     pub(super) own: OwnIdentity,
     pub(super) started: LocalTime,
     pub(super) last_run: LocalTime,
+    /// Time since which parts are unused after a pause; none when in use.
     pub(super) suspended: Option<LocalTime>,
     pub(super) stage: MembershipStage,
     pub(super) rosters: BTreeMap<DataCentreId, VersionedObject<RosterTable>>,
     pub(super) shares: Option<VersionedObject<ShareTable>>,
     pub(super) shares_missing: bool,
+    /// Fleet share that the configuration assigns to the data centre.
     pub(super) share_target: Option<PartCount>,
+    /// Members in the order of preference as relay.
     pub(super) relay_order: Vec<VmId>,
+    /// Other members in the order in which they are probed.
     pub(super) probe_order: Vec<VmId>,
-    pub(super) heard: HeardLog,
-    pub(super) keeping: BTreeSet<VmId>,
-    pub(super) sightings: BTreeMap<VmId, LocalTime>,
+    pub(super) last_seen: LastSeenTable,
+    /// Members known to use no more than the own table's fleet share.
+    pub(super) complying: BTreeSet<VmId>,
+    /// Time of each relay's latest answer from the platform.
+    pub(super) relay_contacts: BTreeMap<VmId, LocalTime>,
+    /// Send time of the latest probe that each member acknowledged without a
+    /// newer table.
     pub(super) contacts: BTreeMap<VmId, LocalTime>,
+    /// Time of this VM's latest effective write to the table, or of its
+    /// joining.
     pub(super) platform_contact: Option<LocalTime>,
     pub(super) probes: BTreeMap<u64, SentProbe>,
     pub(super) probe_number: u64,
     pub(super) round: usize,
     pub(super) next_round: LocalTime,
-    pub(super) asked: BTreeMap<DataCentreId, AskedTable>,
+    pub(super) requested: BTreeMap<DataCentreId, RequestedTable>,
+    /// Members missing from the platform's list, with the time since when.
     pub(super) absent: BTreeMap<VmId, LocalTime>,
+    /// VMs that the platform's list marks as leaving.
     pub(super) leaving: BTreeSet<VmId>,
+    /// Latest join request of each VM, with its time of receipt.
     pub(super) joiners: BTreeMap<VmId, (JoinRequest, LocalTime)>,
     pub(super) release: Option<PartRelease>,
     pub(super) next_balance: LocalTime,
-    pub(super) table_work: TableWork,
+    pub(super) table_call: TableCall,
     pub(super) table_missing: bool,
     pub(super) update_number: u64,
-    pub(super) share_work: ShareWork,
+    pub(super) share_call: ShareCall,
     pub(super) watch: WatchStage,
     pub(super) watch_from: ObjectVersion,
     pub(super) watch_too_old: bool,
     pub(super) next_list: LocalTime,
-    pub(super) listed: Option<LocalTime>,
+    /// Time of the platform's latest list.
+    pub(super) listed_at: Option<LocalTime>,
     pub(super) joining_since: LocalTime,
     pub(super) relay: bool,
     pub(super) digest: Option<ConfigurationDigest>,
     pub(super) announced: Option<UsableParts>,
+    /// Upper bound of the parts on which grants may still exist.
     pub(super) outstanding_parts: PartCount,
+    /// Upper bound of the fleet share on which grants may still exist.
     pub(super) outstanding_share: PartCount,
     pub(super) announced_members: Option<AnnouncedMembers>,
 }
 
 impl RosterState {
-    /// Starts a process that knows no table.
+    /// Creates the state of a process that knows no table.
     #[must_use]
     pub fn new(own: OwnIdentity, settings: RosterSettings, now: LocalTime) -> Self {
         Self {
@@ -135,30 +152,30 @@
             share_target: None,
             relay_order: Vec::new(),
             probe_order: Vec::new(),
-            heard: HeardLog::default(),
-            keeping: BTreeSet::new(),
-            sightings: BTreeMap::new(),
+            last_seen: LastSeenTable::default(),
+            complying: BTreeSet::new(),
+            relay_contacts: BTreeMap::new(),
             contacts: BTreeMap::new(),
             platform_contact: None,
             probes: BTreeMap::new(),
             probe_number: 0,
             round: 0,
             next_round: now,
-            asked: BTreeMap::new(),
+            requested: BTreeMap::new(),
             absent: BTreeMap::new(),
             leaving: BTreeSet::new(),
             joiners: BTreeMap::new(),
             release: None,
             next_balance: now,
-            table_work: TableWork::Idle { retry: now },
+            table_call: TableCall::Idle { retry: now },
             table_missing: false,
             update_number: 0,
-            share_work: ShareWork::Idle { retry: now },
+            share_call: ShareCall::Idle { retry: now },
             watch: WatchStage::Idle { retry: now },
             watch_from: ObjectVersion::default(),
             watch_too_old: true,
             next_list: now,
-            listed: None,
+            listed_at: None,
             joining_since: now,
             relay: false,
             digest: None,
@@ -169,13 +186,13 @@
         }
     }
 
-    /// Returns the life cycle of this VM's membership.
+    /// Returns the stage of this VM's membership.
     #[must_use]
     pub const fn stage(&self) -> MembershipStage {
         self.stage
     }
 
-    /// Returns whether this VM has relay duty.
+    /// Returns whether this VM is a relay.
     #[must_use]
     pub const fn is_relay(&self) -> bool {
         self.relay
@@ -205,22 +222,24 @@
         self.shares.as_ref()
     }
 
-    /// Returns the parts and share that were last announced for use.
+    /// Returns the parts and share last announced for use; none before the
+    /// first announcement.
     #[must_use]
     pub const fn announced(&self) -> Option<&UsableParts> {
         self.announced.as_ref()
     }
 
-    /// Returns the most parts on which grants may still exist.
+    /// Returns upper bounds of the parts and of the fleet share on which grants
+    /// may still exist.
     #[must_use]
     pub const fn outstanding(&self) -> (PartCount, PartCount) {
         (self.outstanding_parts, self.outstanding_share)
     }
 
-    /// Returns whether a member was heard within the suspicion time.
+    /// Returns whether a VM is this one or was seen within the suspicion time.
     #[must_use]
     pub fn is_live(&self, vm: &VmId, now: LocalTime) -> bool {
-        *vm == self.own.vm || self.heard.is_fresh(vm, self.settings.suspicion, now)
+        *vm == self.own.vm || self.last_seen.is_fresh(vm, self.settings.suspicion, now)
     }
 
     /// Returns the live members of the own data centre, this VM included.
--- a/crates/clementinepond_decide/src/roster/store.rs
+++ b/crates/clementinepond_decide/src/roster/store.rs
@@ -1,9 +1,9 @@
 //! Reads and conditional updates of the own table.
 //!
-//! An update without answer is followed by a read. Until a version larger
-//! than the one that the update was conditional on is known, the update may
-//! still take effect: parts that it releases stay unused, parts that it gains
-//! are not used yet.
+//! An update without answer is followed by a read. Until a version larger than
+//! the one that the update was conditional on is known, the update may still
+//! take effect: parts that it releases stay unused, parts that it gains are not
+//! used yet.
 
 use super::exchange::RELAY_KEY;
 use super::plan::plan_table;
@@ -13,65 +13,66 @@
 use crate::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::{LocalTime, ObjectVersion};
 
-/// Call about the own table.
+/// Call to the platform about the own table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum TableWork {
-    /// No call is out.
+pub(super) enum TableCall {
+    /// No call is in progress.
     Idle {
-        /// When the next call may go out.
+        /// Earliest time of the next call.
         retry: LocalTime,
     },
-    /// An update had no answer; the table must be read.
-    Unsure {
-        /// When the read may go out.
+    /// An update or a read had no answer; the table must be read.
+    Unknown {
+        /// Earliest time of the read.
         retry: LocalTime,
     },
-    /// A read is out.
+    /// A read is in progress.
     Reading {
-        /// When it counts as lost.
-        lapse: LocalTime,
+        /// Time after which it counts as lost.
+        until: LocalTime,
     },
-    /// An update is out.
-    Storing(Box<SentTable>),
+    /// An update is in progress.
+    Storing(Box<PendingUpdate>),
 }
 
 /// Update that waits for its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct SentTable {
+pub(super) struct PendingUpdate {
+    /// Version that the update is conditional on.
     base: ObjectVersion,
     table: RosterTable,
     sent: LocalTime,
-    lapse: LocalTime,
+    until: LocalTime,
 }
 
-/// Starts the next call, when one is wanted.
+/// Starts the next call when one is needed.
 pub(super) fn drive_table(
     state: &mut RosterState,
     now: LocalTime,
     effects: &mut Vec<RosterEffect>,
 ) {
     expire_call(state, now);
-    match state.table_work {
-        TableWork::Idle { retry } if now >= retry => {
+    match state.table_call {
+        TableCall::Idle { retry } if now >= retry => {
             if wants_read(state, now) {
                 start_read(state, now, effects);
             } else {
                 start_update(state, now, effects);
             }
         }
-        TableWork::Unsure { retry } if now >= retry => start_read(state, now, effects),
+        TableCall::Unknown { retry } if now >= retry => start_read(state, now, effects),
         _ => {}
     }
 }
 
 fn expire_call(state: &mut RosterState, now: LocalTime) {
-    match &state.table_work {
-        TableWork::Reading { lapse } if now >= *lapse => {
-            state.table_work = TableWork::Unsure { retry: now };
+    match &state.table_call {
+        TableCall::Reading { until } if now >= *until => {
+            state.table_call = TableCall::Unknown { retry: now };
         }
-        TableWork::Storing(sent) if now >= sent.lapse => {
+        TableCall::Storing(sent) if now >= sent.until => {
             let base = sent.base;
-            note_unknown(state, base, now);
+            record_unknown_update(state, base, now);
         }
         _ => {}
     }
@@ -85,8 +86,8 @@
 }
 
 fn start_read(state: &mut RosterState, now: LocalTime, effects: &mut Vec<RosterEffect>) {
-    state.table_work = TableWork::Reading {
-        lapse: now + state.settings.answer_limit,
+    state.table_call = TableCall::Reading {
+        until: now + state.settings.answer_limit,
     };
     effects.push(RosterEffect::ReadTable {
         data_centre: state.own.data_centre.clone(),
@@ -105,21 +106,21 @@
     if let Some(release) = &mut state.release {
         release.written_on = Some(base);
     }
-    let lapse = now + state.settings.answer_limit;
+    let until = now + state.settings.answer_limit;
     effects.push(RosterEffect::StoreTable {
         if_version: base,
         table: table.clone(),
-        deadline: lapse,
+        deadline: until,
     });
-    state.table_work = TableWork::Storing(Box::new(SentTable {
+    state.table_call = TableCall::Storing(Box::new(PendingUpdate {
         base,
         table,
         sent: now,
-        lapse,
+        until,
     }));
 }
 
-/// Takes in the answer to a read.
+/// Applies the answer to a read.
 pub(super) fn table_read(
     state: &mut RosterState,
     reply: ReadReply<RosterTable>,
@@ -138,12 +139,12 @@
         }
         ReadReply::Unavailable => now + state.settings.retry_period,
     };
-    if let TableWork::Reading { .. } = state.table_work {
-        state.table_work = TableWork::Idle { retry };
+    if let TableCall::Reading { .. } = state.table_call {
+        state.table_call = TableCall::Idle { retry };
     }
 }
 
-/// Takes in the answer to an update.
+/// Applies the answer to an update.
 pub(super) fn table_stored(
     state: &mut RosterState,
     nonce: UpdateNonce,
@@ -151,26 +152,26 @@
     now: LocalTime,
     effects: &mut Vec<RosterEffect>,
 ) {
-    let sent = match &state.table_work {
-        TableWork::Storing(sent) if sent.table.nonce == nonce => Some(sent.as_ref().clone()),
+    let sent = match &state.table_call {
+        TableCall::Storing(sent) if sent.table.nonce == nonce => Some(sent.as_ref().clone()),
         _ => None,
     };
     match (reply, sent) {
         (StoreReply::Stored { version }, Some(sent)) => {
             state.table_missing = false;
-            state.table_work = TableWork::Idle { retry: now };
+            state.table_call = TableCall::Idle { retry: now };
             let object = VersionedObject {
                 version,
                 value: sent.table,
             };
             adopt_table(state, object, now, effects);
-            state.note_written(sent.sent);
+            state.record_written(sent.sent);
         }
         (StoreReply::Conflict(object), sent) => {
             if sent.is_some() {
-                state.table_work = TableWork::Idle { retry: now };
+                state.table_call = TableCall::Idle { retry: now };
             }
-            note_conflict(state, object, now, effects);
+            handle_conflict(state, object, now, effects);
         }
         (StoreReply::Unknown, Some(sent)) => {
             if state.mutated(RosterMutation::UseOnUnknown) {
@@ -180,13 +181,13 @@
                 };
                 adopt_table(state, object, now, effects);
             }
-            note_unknown(state, sent.base, now);
+            record_unknown_update(state, sent.base, now);
         }
         (StoreReply::Stored { .. } | StoreReply::Unknown, None) => {}
     }
 }
 
-fn note_conflict(
+fn handle_conflict(
     state: &mut RosterState,
     object: Option<VersionedObject<RosterTable>>,
     now: LocalTime,
@@ -200,8 +201,8 @@
     adopt_table(state, object, now, effects);
 }
 
-fn note_unknown(state: &mut RosterState, base: ObjectVersion, now: LocalTime) {
-    state.table_work = TableWork::Unsure { retry: now };
+fn record_unknown_update(state: &mut RosterState, base: ObjectVersion, now: LocalTime) {
+    state.table_call = TableCall::Unknown { retry: now };
     let resumes = state.mutated(RosterMutation::ResumeOnUnknown);
     if resumes
         && state
@@ -212,7 +213,7 @@
     }
 }
 
-/// Replaces a known table by a newer one.
+/// Replaces a known table by a newer one; an older one is ignored.
 pub(super) fn adopt_table(
     state: &mut RosterState,
     object: VersionedObject<RosterTable>,
@@ -228,19 +229,19 @@
     learn_addresses(known.map(|known| &known.value), &object.value, effects);
     let is_own = data_centre == state.own.data_centre;
     if is_own {
-        note_signs_of_life(state, &object.value, now);
-        note_release_decided(state, object.version);
+        record_activity(state, &object.value, now);
+        finish_release(state, object.version);
     }
     state.rosters.insert(data_centre, object);
     if is_own {
-        state.keeping.clear();
+        state.complying.clear();
         order_members(state);
         update_stage(state, now, effects);
         prune(state, now);
     }
 }
 
-/// Ranks the members for relay duty and for probes.
+/// Ranks the members as relays and for probes.
 fn order_members(state: &mut RosterState) {
     let own = &state.own;
     let Some(object) = state.rosters.get(&own.data_centre) else {
@@ -269,8 +270,8 @@
     }
 }
 
-/// Counts a new entry, and an update, as a sign of life of its process.
-fn note_signs_of_life(state: &mut RosterState, table: &RosterTable, now: LocalTime) {
+/// Records the members with a new entry, and the writer of the update, as seen.
+fn record_activity(state: &mut RosterState, table: &RosterTable, now: LocalTime) {
     let known = state
         .rosters
         .get(&table.data_centre)
@@ -284,13 +285,14 @@
         .map(|(vm, _)| vm.clone())
         .collect();
     for vm in &fresh {
-        state.heard.note(vm, now);
+        state.last_seen.record(vm, now);
     }
-    state.heard.note(&table.holder, now);
+    state.last_seen.record(&table.holder, now);
 }
 
-/// Ends a release whose update has been decided either way.
-fn note_release_decided(state: &mut RosterState, version: ObjectVersion) {
+/// Ends a release once a later table version shows whether its update took
+/// effect.
+fn finish_release(state: &mut RosterState, version: ObjectVersion) {
     let is_decided = |release: &PartRelease| release.written_on.is_some_and(|base| version > base);
     if state.release.as_ref().is_some_and(is_decided) {
         state.release = None;
@@ -324,13 +326,13 @@
         return;
     };
     let table = &object.value;
-    state.heard.prune(table, state.settings.suspicion, now);
+    state.last_seen.prune(table, state.settings.suspicion, now);
     state
         .contacts
         .retain(|vm, _| table.members.contains_key(vm));
     state.absent.retain(|vm, _| table.members.contains_key(vm));
     state
-        .sightings
+        .relay_contacts
         .retain(|vm, _| table.members.contains_key(vm));
     state
         .joiners
--- a/crates/clementinepond_decide/src/roster/watch.rs
+++ b/crates/clementinepond_decide/src/roster/watch.rs
@@ -1,29 +1,31 @@
-//! Answers of the platform's watches.
+//! Answers to watches of platform objects.
 
 use crate::port::VersionedObject;
 use clementinepond_types::ObjectVersion;
 use serde::{Deserialize, Serialize};
 
-/// One change that a watch reported.
+/// Change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchChange<T> {
     /// Name of the object.
     pub name: Box<str>,
-    /// The object, or nothing when it was deleted.
+    /// New state of the object; none when it was deleted.
     pub object: Option<VersionedObject<T>>,
 }
 
-/// Outcome of a watch, or of the list that follows a watch that was too old.
+/// Outcome of a watch, or of the list that follows a watch from a version that
+/// was too old.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WatchAnswer<T> {
-    /// Changes after the asked version; none when the wait ended without one.
+    /// Changes after the requested version; empty when the wait ended without
+    /// one.
     Changes {
-        /// Version to watch from next.
+        /// Version from which to watch next.
         version: ObjectVersion,
         /// Changes in the order of their versions.
         changes: Vec<WatchChange<T>>,
     },
-    /// The asked version is too old; the kind must be listed.
+    /// The requested version is too old; the objects must be listed.
     TooOld,
     /// No answer came.
     Unavailable,
