--- a/crates/clementinepond_decide/src/limit/peer.rs
+++ b/crates/clementinepond_decide/src/limit/peer.rs
@@ -39,7 +39,8 @@
         self.peers.retain(|peer, _| keep(peer));
     }
 
-    /// Returns whether a VM has no request unanswered for the peer timeout.
+    /// Returns whether no request to the VM has been unanswered for the peer
+    /// timeout.
     pub(super) fn is_reachable(
         &self,
         peer: &VmId,
--- a/crates/clementinepond_decide/src/roster/plan.rs
+++ b/crates/clementinepond_decide/src/roster/plan.rs
@@ -1,9 +1,9 @@
 //! Plans the next update of the own table.
 //!
 //! Any member writes its own release. Only a relay adds other VMs and removes
-//! those that are gone. Unheld parts are distributed by relays, and by VMs that
-//! join, release parts, leave or restore a missing table, so that members do
-//! not race.
+//! those that are gone, so that members do not race. Unheld parts are
+//! distributed by relays, and by VMs that join, release parts, shut down or
+//! restore a missing table.
 
 use super::assign::{assign_unheld, parts_after_release};
 use super::share::plan_share;
