--- a/crates/clementinepond_decide/src/claim/assignment.rs
+++ b/crates/clementinepond_decide/src/claim/assignment.rs
@@ -3,7 +3,7 @@
 use super::effect::ClaimEffect;
 use super::key::ShardNumber;
 use super::owner::{self, ShardEntry, ShardTenure};
-use super::shard_step::{flush_step, with_shard};
+use super::shard_step::{tick_step, with_shard};
 use super::state::{ClaimState, RosterView};
 use clementinepond_types::{DataCentreId, Epoch, LocalTime, VmId};
 
@@ -25,12 +25,16 @@
     state
         .rosters
         .insert(data_centre, RosterView { epoch, members });
-    let mut effects = end_lost_runs(state, &lost, now);
+    let mut effects = end_runs_of_removed_vms(state, &lost, now);
     effects.extend(assign(state, now));
     effects
 }
 
-fn end_lost_runs(state: &mut ClaimState, lost: &[VmId], now: LocalTime) -> Vec<ClaimEffect> {
+fn end_runs_of_removed_vms(
+    state: &mut ClaimState,
+    lost: &[VmId],
+    now: LocalTime,
+) -> Vec<ClaimEffect> {
     let shards: Vec<ShardNumber> = state.shards.keys().copied().collect();
     let mut effects = Vec::new();
     for shard in shards {
@@ -72,7 +76,7 @@
             });
             state.shards.insert(shard, entry);
             effects.extend(with_shard(state, shard, now, |entry, context| {
-                Ok(owner::taking_tick(entry, context))
+                Ok(owner::takeover_tick(entry, context))
             }));
         }
     }
@@ -94,7 +98,7 @@
     for shard in others {
         if let Some(ShardEntry::Holding(tenure)) = state.shards.get_mut(&shard) {
             tenure.stage.closing = true;
-            effects.extend(with_shard(state, shard, now, flush_step));
+            effects.extend(with_shard(state, shard, now, tick_step));
         } else {
             state.shards.remove(&shard);
         }
--- a/crates/clementinepond_decide/src/claim/effect.rs
+++ b/crates/clementinepond_decide/src/claim/effect.rs
@@ -51,7 +51,7 @@
     /// Otherwise the refusal speaks for this call alone, and the caller must
     /// repeat it with the same key.
     #[must_use]
-    pub const fn clears_key(self) -> bool {
+    pub const fn rules_out_earlier_run(self) -> bool {
         matches!(self, Self::Full)
     }
 }
--- a/crates/clementinepond_decide/src/claim/event.rs
+++ b/crates/clementinepond_decide/src/claim/event.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ClaimEvent {
     /// A keyed call arrived at this VM.
-    Ask {
+    Requested {
         /// Number of the call; never used twice by one process.
         ticket: ClaimTicket,
         /// Client account of the call.
--- a/crates/clementinepond_decide/src/claim/message.rs
+++ b/crates/clementinepond_decide/src/claim/message.rs
@@ -75,14 +75,14 @@
         more: bool,
     },
     /// The witness restarted and holds nothing.
-    Forgotten,
+    Lost,
 }
 
 /// One message between VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ClaimMessage {
     /// Asks the owner for a claim.
-    Ask {
+    Request {
         /// Call that wants to run.
         holder: RunHolder,
         /// Key of the claim.
--- a/crates/clementinepond_decide/src/claim/mod.rs
+++ b/crates/clementinepond_decide/src/claim/mod.rs
@@ -17,7 +17,6 @@
 //! can report that nothing ran. A claim whose outcome is not reported becomes
 //! unknown and is never granted again.
 
-mod asker;
 mod assignment;
 mod effect;
 mod event;
@@ -29,6 +28,7 @@
 mod record;
 mod reduce;
 mod replica;
+mod requester;
 mod settings;
 mod shard_step;
 mod state;
--- a/crates/clementinepond_decide/src/claim/object.rs
+++ b/crates/clementinepond_decide/src/claim/object.rs
@@ -20,7 +20,7 @@
 /// Characters of one ended claim.
 pub(crate) const RECORD_WIDTH: usize = KEY_DIGITS + FINGERPRINT_DIGITS + 1;
 /// Upper bound of the characters of one running claim.
-pub(crate) const RUNNING_WIDTH: usize = 400;
+pub(crate) const RUNNING_RECORD_MAX_SIZE: usize = 400;
 /// Upper bound of the characters of everything else in an object.
 pub(crate) const OBJECT_OVERHEAD: usize = 4_096;
 /// Number of groups that the retention window is cut into.
@@ -91,7 +91,7 @@
     let width = (retention.micros() / BATCHES_PER_RETENTION).max(1);
     let mut groups: BTreeMap<u64, String> = BTreeMap::new();
     for (key, record) in settled {
-        let group = now.until(record.forget_at).micros().div_ceil(width);
+        let group = now.until(record.expires_at).micros().div_ceil(width);
         encode_record(groups.entry(group).or_default(), key, record);
     }
     groups
@@ -124,14 +124,14 @@
 ) -> BTreeMap<ClaimKey, SettledRecord> {
     let mut settled = BTreeMap::new();
     for batch in batches {
-        let forget_at = read_at + batch.time_left;
+        let expires_at = read_at + batch.time_left;
         let records = batch.records.as_bytes().chunks_exact(RECORD_WIDTH);
-        settled.extend(records.filter_map(|record| decode_record(record, forget_at)));
+        settled.extend(records.filter_map(|record| decode_record(record, expires_at)));
     }
     settled
 }
 
-fn decode_record(record: &[u8], forget_at: LocalTime) -> Option<(ClaimKey, SettledRecord)> {
+fn decode_record(record: &[u8], expires_at: LocalTime) -> Option<(ClaimKey, SettledRecord)> {
     let text = str::from_utf8(record).ok()?;
     let mut bytes = [0; CLAIM_KEY_LENGTH];
     for (place, byte) in bytes.iter_mut().enumerate() {
@@ -149,7 +149,7 @@
         fingerprint: BodyFingerprint::from_number(u32::from_str_radix(fingerprint, 16).ok()?),
         dated,
         answered,
-        forget_at,
+        expires_at,
     };
     Some((ClaimKey::from_bytes(bytes), record))
 }
--- a/crates/clementinepond_decide/src/claim/owner/commit.rs
+++ b/crates/clementinepond_decide/src/claim/owner/commit.rs
@@ -1,11 +1,11 @@
 //! Group commits of a shard to its platform object.
 
-use super::granting::made_durable;
+use super::granting::mark_durable;
 use super::shard::{
     ActiveState, Collecting, Commit, Holding, OwnerContext, ReplicaSlot, SettledRecord, ShardEntry,
     ShardTenure,
 };
-use super::taking::{assemble, choose_replicas, start};
+use super::takeover::{assemble, choose_replicas, start_read};
 use crate::claim::effect::ClaimEffect;
 use crate::claim::key::ClaimKey;
 use crate::claim::object::{RunningRecord, ShardObject, ShardWitness, encode_batches};
@@ -31,8 +31,11 @@
     let shard = tenure.shard;
     let stage = &mut tenure.stage;
     if let Some(commit) = &mut stage.commit {
-        if commit.read_at.is_some_and(|read_at| context.now >= read_at) {
-            commit.read_at = None;
+        if commit
+            .reread_at
+            .is_some_and(|reread_at| context.now >= reread_at)
+        {
+            commit.reread_at = None;
             context.effects.push(ClaimEffect::Read { shard });
         }
         return;
@@ -58,7 +61,7 @@
 
 /// Returns whether claims wait that replicas do not make durable in time.
 fn is_urgent(stage: &Holding, context: &OwnerContext<'_>) -> bool {
-    let patience = if stage.copies_count {
+    let copy_wait = if stage.witnesses_confirmed {
         context.settings.copy_timeout
     } else {
         TimeSpan::ZERO
@@ -67,7 +70,7 @@
         .pending
         .iter()
         .filter_map(|key| stage.active.get(key))
-        .any(|record| context.now >= record.changed_at + patience)
+        .any(|record| context.now >= record.changed_at + copy_wait)
 }
 
 /// Returns whether the replicas should be other ones.
@@ -78,7 +81,7 @@
             .iter()
             .zip(&stage.replicas)
             .all(|(a, b)| a.vm == b.vm && a.incarnation == b.incarnation);
-    !same || (!wanted.is_empty() && !stage.copies_count)
+    !same || (!wanted.is_empty() && !stage.witnesses_confirmed)
 }
 
 fn wanted_replicas(stage: &Holding, context: &OwnerContext<'_>) -> Vec<ReplicaSlot> {
@@ -102,18 +105,18 @@
     {
         // Until this write is known to be stored, the object may name either
         // set of witnesses, so that no acknowledgement counts.
-        stage.copies_count = false;
+        stage.witnesses_confirmed = false;
     }
     if context.settings.mutation == ClaimMutation::CopyBeforeWitness {
         stage.replicas.clone_from(&replicas);
-        stage.copies_count = !replicas.is_empty();
+        stage.witnesses_confirmed = !replicas.is_empty();
     }
     let object = encode(stage, &replicas, number, context);
     stage.commit = Some(Commit {
         write: number,
-        covers: stage.sequence,
+        covered_sequence: stage.sequence,
         replicas,
-        read_at: None,
+        reread_at: None,
     });
     stage.last_write_at = context.now;
     stage.dirty_since = None;
@@ -143,7 +146,7 @@
                 time_left: now.until(*expiry),
             });
         } else {
-            settled.insert(*key, settle(stage, key, context));
+            settled.insert(*key, settled_record(stage, key, context));
         }
     }
     let quarantine_left = stage
@@ -178,13 +181,13 @@
     std::iter::once(own).chain(others).collect()
 }
 
-fn settle(stage: &Holding, key: &ClaimKey, context: &OwnerContext<'_>) -> SettledRecord {
+fn settled_record(stage: &Holding, key: &ClaimKey, context: &OwnerContext<'_>) -> SettledRecord {
     let record = &stage.active[key];
     SettledRecord {
         fingerprint: record.fingerprint,
         dated: record.dated,
         answered: matches!(record.state, ActiveState::Answered(_)),
-        forget_at: record.changed_at + context.settings.kept_for(record.dated),
+        expires_at: record.changed_at + context.settings.retention_of(record.dated),
     }
 }
 
@@ -213,7 +216,7 @@
         }
         StoreReply::Unknown => {
             if let Some(commit) = &mut tenure.stage.commit {
-                commit.read_at = Some(context.now);
+                commit.reread_at = Some(context.now);
             }
             flush(&mut tenure, context);
         }
@@ -231,7 +234,7 @@
     match (&mut tenure.stage.commit, reply) {
         (None, _) => {}
         (Some(_), ReadReply::Found(found)) => return resolve(tenure, found, context),
-        (Some(commit), ReadReply::Unavailable) => commit.read_at = Some(retry_at),
+        (Some(commit), ReadReply::Unavailable) => commit.reread_at = Some(retry_at),
         (Some(_), ReadReply::Missing) => {
             if tenure.stage.version.is_some() {
                 return Err(Box::new(tenure));
@@ -260,7 +263,7 @@
     } else if stage.version > Some(found.version) {
         // A read that was answered late.
         if let Some(commit) = &mut stage.commit {
-            commit.read_at = Some(context.now + context.settings.commit_gap);
+            commit.reread_at = Some(context.now + context.settings.commit_gap);
         }
     } else {
         return Err(Box::new(tenure));
@@ -284,28 +287,28 @@
     };
     stage.version = Some(version);
     stage.activated = true;
-    stage.flushed = commit.covers;
-    keep_silence(stage, commit.replicas);
-    stage.copies_count = !stage.replicas.is_empty();
+    stage.flushed = commit.covered_sequence;
+    replace_replicas(stage, commit.replicas);
+    stage.witnesses_confirmed = !stage.replicas.is_empty();
     let durable: Vec<ClaimKey> = stage
         .pending
         .iter()
-        .filter(|key| stage.active[key].sequence <= commit.covers)
+        .filter(|key| stage.active[key].sequence <= commit.covered_sequence)
         .copied()
         .collect();
     for key in durable {
-        made_durable(tenure, key, context);
+        mark_durable(tenure, key, context);
     }
     settle_flushed(&mut tenure.stage, context);
     tenure.stage.next_resend = context.now;
     super::copying::resend_copies(tenure, context);
 }
 
-fn keep_silence(stage: &mut Holding, replicas: Vec<ReplicaSlot>) {
+fn replace_replicas(stage: &mut Holding, replicas: Vec<ReplicaSlot>) {
     let known: BTreeMap<_, _> = stage
         .replicas
         .drain(..)
-        .map(|slot| ((slot.vm, slot.incarnation), slot.silent_since))
+        .map(|slot| ((slot.vm, slot.incarnation), slot.unacknowledged_since))
         .collect();
     let same_set = known.len() == replicas.len()
         && replicas
@@ -319,7 +322,7 @@
     stage.replicas = replicas;
     for slot in &mut stage.replicas {
         let same = known.get(&(slot.vm.clone(), slot.incarnation));
-        slot.silent_since = same.copied().flatten();
+        slot.unacknowledged_since = same.copied().flatten();
     }
 }
 
@@ -338,7 +341,7 @@
         .map(|(key, _)| *key)
         .collect();
     for key in ended {
-        let record = settle(stage, &key, context);
+        let record = settled_record(stage, &key, context);
         stage.active.remove(&key);
         stage.settled.insert(key, record);
     }
@@ -354,6 +357,9 @@
 }
 
 /// Starts again after another owner wrote the object.
-pub(crate) fn deposed(tenure: &ShardTenure<Holding>, context: &mut OwnerContext<'_>) -> ShardEntry {
-    start(tenure.shard, context)
+pub(crate) fn restart_takeover(
+    tenure: &ShardTenure<Holding>,
+    context: &mut OwnerContext<'_>,
+) -> ShardEntry {
+    start_read(tenure.shard, context)
 }
--- a/crates/clementinepond_decide/src/claim/owner/copying.rs
+++ b/crates/clementinepond_decide/src/claim/owner/copying.rs
@@ -1,6 +1,6 @@
 //! Copies of claims from an owner to its replicas.
 
-use super::granting::made_durable;
+use super::granting::mark_durable;
 use super::shard::{Holding, OwnerContext, ShardTenure};
 use crate::claim::effect::ClaimEffect;
 use crate::claim::key::ClaimKey;
@@ -30,7 +30,7 @@
 ) {
     let shard = tenure.shard;
     let stage = &mut tenure.stage;
-    if !stage.activated || !stage.copies_count {
+    if !stage.activated || !stage.witnesses_confirmed {
         return;
     }
     for slot in &mut stage.replicas {
@@ -38,7 +38,7 @@
             continue;
         }
         if !records.is_empty() {
-            slot.silent_since.get_or_insert(context.now);
+            slot.unacknowledged_since.get_or_insert(context.now);
         }
         context.effects.push(ClaimEffect::Send {
             to: slot.vm.clone(),
@@ -71,7 +71,7 @@
             send_copies(tenure, Some(&vm), records, context);
         }
     }
-    drop_silent(&mut tenure.stage, context);
+    drop_unresponsive(&mut tenure.stage, context);
     enlist(tenure, context);
 }
 
@@ -86,17 +86,19 @@
         .collect()
 }
 
-fn drop_silent(stage: &mut Holding, context: &OwnerContext<'_>) {
+fn drop_unresponsive(stage: &mut Holding, context: &OwnerContext<'_>) {
     let timeout = context.settings.replica_timeout;
     for slot in &stage.replicas {
         let silent = slot
-            .silent_since
+            .unacknowledged_since
             .is_some_and(|since| context.now >= since + timeout);
         if silent {
             stage.enlisted.remove(&slot.vm);
         }
     }
-    stage.enlisted.retain(|vm, _| context.others.contains(vm));
+    stage
+        .enlisted
+        .retain(|vm, _| context.local_peers.contains(vm));
 }
 
 /// Asks further VMs while too few are enlisted.
@@ -106,7 +108,7 @@
     if stage.closing || stage.enlisted.len() >= context.settings.replica_count {
         return;
     }
-    for to in &context.others {
+    for to in &context.local_peers {
         if !stage.enlisted.contains_key(to) {
             let term = stage.term;
             context.effects.push(ClaimEffect::Send {
@@ -146,10 +148,10 @@
     let Some(slot) = slot else {
         return;
     };
-    if term != stage.term || !stage.copies_count {
+    if term != stage.term || !stage.witnesses_confirmed {
         return;
     }
-    slot.silent_since = None;
+    slot.unacknowledged_since = None;
     let mut complete = Vec::new();
     for (key, sequence) in copied {
         let Some(record) = stage.active.get_mut(key) else {
@@ -165,6 +167,6 @@
         }
     }
     for key in complete {
-        made_durable(tenure, key, context);
+        mark_durable(tenure, key, context);
     }
 }
--- a/crates/clementinepond_decide/src/claim/owner/expiry.rs
+++ b/crates/clementinepond_decide/src/claim/owner/expiry.rs
@@ -1,6 +1,6 @@
 //! Runs that nobody will report, and records beyond retention.
 
-use super::granting::{change, free};
+use super::granting::{free, set_outcome};
 use super::shard::{ActiveRecord, ActiveState, Holding, OwnerContext, SettledRecord, ShardTenure};
 use crate::claim::key::ClaimKey;
 use crate::claim::record::RunHolder;
@@ -19,16 +19,16 @@
     tenure.stage.next_sweep = now + SWEEP_INTERVAL;
     let expired = running_keys(&tenure.stage, |_, expiry| now >= expiry);
     for key in expired {
-        lose(tenure, key, context);
+        end_unreported(tenure, key, context);
     }
     let stage = &mut tenure.stage;
-    let is_kept = |record: &SettledRecord| record.forget_at > now;
+    let is_kept = |record: &SettledRecord| record.expires_at > now;
     stage.settled.retain(|_, record| is_kept(record));
     let settings = context.settings;
     let is_over = |record: &ActiveRecord| {
         !matches!(record.state, ActiveState::Running { .. })
             && record.durable
-            && record.changed_at + settings.kept_for(record.dated) <= now
+            && record.changed_at + settings.retention_of(record.dated) <= now
     };
     let over: Vec<ActiveRecord> = stage
         .active
@@ -68,12 +68,16 @@
     context: &mut OwnerContext<'_>,
 ) {
     for key in running_keys(&tenure.stage, |holder, _| holder.vm == *vm) {
-        lose(tenure, key, context);
+        end_unreported(tenure, key, context);
     }
 }
 
 /// Ends a run whose outcome will not be reported.
-fn lose(tenure: &mut ShardTenure<Holding>, key: ClaimKey, context: &mut OwnerContext<'_>) {
+fn end_unreported(
+    tenure: &mut ShardTenure<Holding>,
+    key: ClaimKey,
+    context: &mut OwnerContext<'_>,
+) {
     if context.settings.mutation == ClaimMutation::ForgetUnreportedRun {
         free(&mut tenure.stage, key, context.now);
         return;
@@ -82,7 +86,7 @@
         return;
     };
     let (fingerprint, dated) = (record.fingerprint, record.dated);
-    change(
+    set_outcome(
         tenure,
         key,
         fingerprint,
--- a/crates/clementinepond_decide/src/claim/owner/granting.rs
+++ b/crates/clementinepond_decide/src/claim/owner/granting.rs
@@ -6,7 +6,7 @@
 use crate::claim::event::RunOutcome;
 use crate::claim::key::{BodyFingerprint, ClaimKey, KeyDate};
 use crate::claim::message::{ClaimMessage, OwnerReply, RunReport};
-use crate::claim::object::RUNNING_WIDTH;
+use crate::claim::object::RUNNING_RECORD_MAX_SIZE;
 use crate::claim::record::RunHolder;
 use crate::claim::settings::ClaimMutation;
 use clementinepond_types::{LocalTime, TimeSpan};
@@ -26,7 +26,7 @@
 }
 
 /// Answers a call.
-pub(crate) fn ask(
+pub(crate) fn request(
     tenure: &mut ShardTenure<Holding>,
     holder: RunHolder,
     key: ClaimKey,
@@ -40,7 +40,7 @@
     }
     let answer = match known_reply(&mut tenure.stage, &holder, key, fingerprint) {
         Some(answer) => answer,
-        None => match admit(&mut tenure.stage, date, context) {
+        None => match admission_refusal(&mut tenure.stage, date, context) {
             Some(reason) => Some(OwnerReply::Refused(reason)),
             None => {
                 insert(
@@ -88,14 +88,14 @@
     Some(Some(answer))
 }
 
-fn active_reply(record: &mut ActiveRecord, asker: &RunHolder) -> Option<OwnerReply> {
+fn active_reply(record: &mut ActiveRecord, requester: &RunHolder) -> Option<OwnerReply> {
     match &record.state {
-        ActiveState::Running { holder, .. } if holder == asker => {
+        ActiveState::Running { holder, .. } if holder == requester => {
             record.durable.then_some(OwnerReply::Granted)
         }
         ActiveState::Running { .. } => {
-            if record.waiters.len() < WAITER_LIMIT && !record.waiters.contains(asker) {
-                record.waiters.push(asker.clone());
+            if record.waiters.len() < WAITER_LIMIT && !record.waiters.contains(requester) {
+                record.waiters.push(requester.clone());
             }
             Some(OwnerReply::Joined)
         }
@@ -105,11 +105,15 @@
 }
 
 /// Returns the reason for which no new claim may be made, if there is one.
-fn admit(stage: &mut Holding, date: KeyDate, context: &OwnerContext<'_>) -> Option<ClaimRefusal> {
+fn admission_refusal(
+    stage: &mut Holding,
+    date: KeyDate,
+    context: &OwnerContext<'_>,
+) -> Option<ClaimRefusal> {
     if is_quarantined(stage, date, context) {
         return Some(ClaimRefusal::Quarantined);
     }
-    if stage.object_size() + RUNNING_WIDTH <= context.settings.object_limit {
+    if stage.object_size() + RUNNING_RECORD_MAX_SIZE <= context.settings.object_limit {
         return None;
     }
     if context.settings.mutation == ClaimMutation::ForgetWhenFull {
@@ -117,7 +121,7 @@
             .settled
             .iter()
             .filter(|(_, record)| !record.dated)
-            .min_by_key(|(_, record)| record.forget_at)
+            .min_by_key(|(_, record)| record.expires_at)
             .map(|(key, _)| *key);
         if let Some(key) = oldest {
             stage.settled.remove(&key);
@@ -173,12 +177,12 @@
     stage.pending.insert(key);
     copy_one(tenure, key, context);
     if context.settings.mutation == ClaimMutation::GrantBeforeDurable {
-        made_durable(tenure, key, context);
+        mark_durable(tenure, key, context);
     }
 }
 
 /// Grants a claim, or confirms a report, that can no longer be lost.
-pub(crate) fn made_durable(
+pub(crate) fn mark_durable(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
     context: &mut OwnerContext<'_>,
@@ -223,7 +227,7 @@
         RunReport::NotRun => release(tenure, holder, key, context),
         RunReport::Ended(outcome) => {
             if !tenure.stage.closing {
-                end(tenure, holder, key, fingerprint, dated, outcome, context);
+                record_outcome(tenure, holder, key, fingerprint, dated, outcome, context);
             }
         }
     }
@@ -253,7 +257,7 @@
     stage.pending.remove(&key);
 }
 
-fn end(
+fn record_outcome(
     tenure: &mut ShardTenure<Holding>,
     holder: &RunHolder,
     key: ClaimKey,
@@ -276,7 +280,7 @@
         }
         return;
     }
-    change(
+    set_outcome(
         tenure,
         key,
         fingerprint,
@@ -303,7 +307,7 @@
 }
 
 /// Sets the outcome of a claim, copies it and tells who waits for it.
-pub(super) fn change(
+pub(super) fn set_outcome(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
     fingerprint: BodyFingerprint,
--- a/crates/clementinepond_decide/src/claim/owner/mod.rs
+++ b/crates/clementinepond_decide/src/claim/owner/mod.rs
@@ -5,13 +5,13 @@
 mod expiry;
 mod granting;
 mod shard;
-mod taking;
+mod takeover;
 
-pub(crate) use commit::{commit_read, commit_stored, deposed, flush, release_done};
+pub(crate) use commit::{commit_read, commit_stored, flush, release_done, restart_takeover};
 pub(crate) use copying::{copies_acknowledged, replica_enlisted, resend_copies};
 pub(crate) use expiry::{holder_lost, sweep};
-pub(crate) use granting::{ask, report};
+pub(crate) use granting::{report, request};
 pub(crate) use shard::{
     Collecting, Holding, OwnerContext, Reading, SettledRecord, ShardEntry, ShardTenure,
 };
-pub(crate) use taking::{collected, read_replied, taking_tick};
+pub(crate) use takeover::{collected, read_replied, takeover_tick};
--- a/crates/clementinepond_decide/src/claim/owner/shard.rs
+++ b/crates/clementinepond_decide/src/claim/owner/shard.rs
@@ -4,7 +4,7 @@
 use crate::claim::key::{BodyFingerprint, ClaimKey, ShardNumber};
 use crate::claim::message::{CopyRecord, CopyState};
 use crate::claim::object::{
-    OBJECT_OVERHEAD, RECORD_WIDTH, RUNNING_WIDTH, ShardObject, ShardWitness,
+    OBJECT_OVERHEAD, RECORD_WIDTH, RUNNING_RECORD_MAX_SIZE, ShardObject, ShardWitness,
 };
 use crate::claim::record::{RecordedAnswer, RunHolder, VmIncarnation};
 use crate::claim::settings::ClaimSettings;
@@ -19,9 +19,9 @@
     pub(crate) writes: &'a mut u64,
     pub(crate) epoch: Epoch,
     /// Other VMs of the data centre, in the shard's order.
-    pub(crate) others: Vec<VmId>,
+    pub(crate) local_peers: Vec<VmId>,
     /// VMs of the other data centres.
-    pub(crate) strangers: Vec<VmId>,
+    pub(crate) remote_peers: Vec<VmId>,
     pub(crate) now: LocalTime,
     pub(crate) effects: Vec<ClaimEffect>,
 }
@@ -52,7 +52,7 @@
     /// Every record is here.
     Complete,
     /// The process is gone.
-    Forgotten,
+    Lost,
 }
 
 /// The witnesses of the former term are being asked.
@@ -123,7 +123,7 @@
     pub(crate) fingerprint: BodyFingerprint,
     pub(crate) dated: bool,
     pub(crate) answered: bool,
-    pub(crate) forget_at: LocalTime,
+    pub(crate) expires_at: LocalTime,
 }
 
 /// Replica that the stored object names as a witness.
@@ -132,17 +132,17 @@
     pub(crate) vm: VmId,
     pub(crate) incarnation: VmIncarnation,
     /// Moment of the oldest copy that is not acknowledged.
-    pub(crate) silent_since: Option<LocalTime>,
+    pub(crate) unacknowledged_since: Option<LocalTime>,
 }
 
 /// Conditional update on its way.
 #[derive(Debug, Clone)]
 pub(crate) struct Commit {
     pub(crate) write: u64,
-    pub(crate) covers: u64,
+    pub(crate) covered_sequence: u64,
     pub(crate) replicas: Vec<ReplicaSlot>,
     /// Moment from which an unanswered write is read again.
-    pub(crate) read_at: Option<LocalTime>,
+    pub(crate) reread_at: Option<LocalTime>,
 }
 
 /// Time in which keys of unknown age are refused.
@@ -162,7 +162,7 @@
     pub(crate) replicas: Vec<ReplicaSlot>,
     pub(crate) enlisted: BTreeMap<VmId, VmIncarnation>,
     /// Whether the stored object certainly names the replicas as witnesses.
-    pub(crate) copies_count: bool,
+    pub(crate) witnesses_confirmed: bool,
     pub(crate) active: BTreeMap<ClaimKey, ActiveRecord>,
     pub(crate) pending: BTreeSet<ClaimKey>,
     pub(crate) answers: BTreeMap<u64, ClaimKey>,
@@ -184,7 +184,7 @@
     pub(crate) fn object_size(&self) -> usize {
         let answered = self.answers.len().min(self.active.len());
         let records = (self.settled.len() + answered) * RECORD_WIDTH;
-        OBJECT_OVERHEAD + records + (self.active.len() - answered) * RUNNING_WIDTH
+        OBJECT_OVERHEAD + records + (self.active.len() - answered) * RUNNING_RECORD_MAX_SIZE
     }
 
     /// Counts a kept answer against the budget.
--- a/crates/clementinepond_decide/src/claim/owner/taking.rs
+++ b/crates/clementinepond_decide/src/claim/owner/takeover.rs
@@ -15,10 +15,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Copy timeouts that a new owner waits for replicas to enlist.
-const ENLIST_ROUNDS: u64 = 5;
+const ENLIST_WAIT_IN_COPY_TIMEOUTS: u64 = 5;
 
 /// Begins with a read of the object.
-pub(crate) fn start(shard: ShardNumber, context: &mut OwnerContext<'_>) -> ShardEntry {
+pub(crate) fn start_read(shard: ShardNumber, context: &mut OwnerContext<'_>) -> ShardEntry {
     context.effects.push(ClaimEffect::Read { shard });
     let stage = Reading {
         read_at: context.now,
@@ -27,7 +27,7 @@
     ShardEntry::Reading(ShardTenure { shard, stage })
 }
 
-fn pause(shard: ShardNumber, context: &OwnerContext<'_>) -> ShardEntry {
+fn retry_read_later(shard: ShardNumber, context: &OwnerContext<'_>) -> ShardEntry {
     let stage = Reading {
         read_at: context.now,
         retry_at: context.now + context.settings.commit_gap,
@@ -47,18 +47,18 @@
     let found = match reply {
         ReadReply::Found(found) => Some(found),
         ReadReply::Missing => None,
-        ReadReply::Unavailable => return pause(tenure.shard, context),
+        ReadReply::Unavailable => return retry_read_later(tenure.shard, context),
     };
     // Epochs of two data centres cannot be compared.
     let newer = found.as_ref().is_some_and(|found| {
-        !context.strangers.contains(&found.value.holder) && found.value.epoch > context.epoch
+        !context.remote_peers.contains(&found.value.holder) && found.value.epoch > context.epoch
     });
     if newer {
         // A later roster gave the shard to another VM; wait for that roster.
-        return pause(tenure.shard, context);
+        return retry_read_later(tenure.shard, context);
     }
     let stage = collecting(found, tenure.stage.read_at, context);
-    taking_step(tenure.enter(stage), context)
+    takeover_step(tenure.enter(stage), context)
 }
 
 fn collecting(
@@ -88,18 +88,21 @@
 }
 
 /// Repeats what is unanswered.
-pub(crate) fn taking_tick(entry: ShardEntry, context: &mut OwnerContext<'_>) -> ShardEntry {
+pub(crate) fn takeover_tick(entry: ShardEntry, context: &mut OwnerContext<'_>) -> ShardEntry {
     match entry {
         ShardEntry::Reading(tenure) if context.now >= tenure.stage.retry_at => {
-            start(tenure.shard, context)
+            start_read(tenure.shard, context)
         }
-        ShardEntry::Collecting(tenure) => taking_step(*tenure, context),
+        ShardEntry::Collecting(tenure) => takeover_step(*tenure, context),
         other => other,
     }
 }
 
-fn taking_step(mut tenure: ShardTenure<Collecting>, context: &mut OwnerContext<'_>) -> ShardEntry {
-    mark_gone(&mut tenure.stage, context);
+fn takeover_step(
+    mut tenure: ShardTenure<Collecting>,
+    context: &mut OwnerContext<'_>,
+) -> ShardEntry {
+    mark_lost_witnesses(&mut tenure.stage, context);
     if is_collected(&tenure.stage, context) && is_enlisted(&tenure.stage, context) {
         return super::commit::activate(tenure, context);
     }
@@ -110,15 +113,15 @@
 }
 
 /// Counts processes as gone that this VM replaced or that left the roster.
-fn mark_gone(stage: &mut Collecting, context: &OwnerContext<'_>) {
+fn mark_lost_witnesses(stage: &mut Collecting, context: &OwnerContext<'_>) {
     for (witness, progress) in &mut stage.witnesses {
         let replaced = witness.vm == *context.vm && witness.incarnation != context.incarnation;
         // A shard may have come from another data centre.
         let left = witness.vm != *context.vm
-            && !context.others.contains(&witness.vm)
-            && !context.strangers.contains(&witness.vm);
+            && !context.local_peers.contains(&witness.vm)
+            && !context.remote_peers.contains(&witness.vm);
         if (replaced || left) && *progress != WitnessProgress::Complete {
-            *progress = WitnessProgress::Forgotten;
+            *progress = WitnessProgress::Lost;
         }
     }
 }
@@ -127,12 +130,18 @@
     let progress = || stage.witnesses.values();
     context.settings.mutation == ClaimMutation::SkipCollect
         || progress().any(|one| *one == WitnessProgress::Complete)
-        || progress().all(|one| *one == WitnessProgress::Forgotten)
+        || progress().all(|one| *one == WitnessProgress::Lost)
 }
 
 fn is_enlisted(stage: &Collecting, context: &OwnerContext<'_>) -> bool {
-    let wanted = context.settings.replica_count.min(context.others.len());
-    let wait = context.settings.copy_timeout.fraction(ENLIST_ROUNDS, 1);
+    let wanted = context
+        .settings
+        .replica_count
+        .min(context.local_peers.len());
+    let wait = context
+        .settings
+        .copy_timeout
+        .fraction(ENLIST_WAIT_IN_COPY_TIMEOUTS, 1);
     stage.enlisted.len() >= wanted || context.now >= stage.started_at + wait
 }
 
@@ -154,7 +163,11 @@
             context.effects.push(ClaimEffect::Send { to, message });
         }
     }
-    for to in context.others.iter().take(context.settings.replica_count) {
+    for to in context
+        .local_peers
+        .iter()
+        .take(context.settings.replica_count)
+    {
         if !stage.enlisted.contains_key(to) {
             context.effects.push(ClaimEffect::Send {
                 to: to.clone(),
@@ -185,7 +198,7 @@
         return ShardEntry::Collecting(Box::new(tenure));
     }
     match copies {
-        CollectedCopies::Forgotten => *progress = WitnessProgress::Forgotten,
+        CollectedCopies::Lost => *progress = WitnessProgress::Lost,
         CollectedCopies::Records { records, more } => {
             let last = records.last().map(|record| record.key);
             *progress = match last {
@@ -198,7 +211,7 @@
             stage.next_send = context.now;
         }
     }
-    taking_step(tenure, context)
+    takeover_step(tenure, context)
 }
 
 fn finality(state: &CopyState) -> u8 {
@@ -225,14 +238,14 @@
         && stage
             .witnesses
             .values()
-            .all(|one| *one == WitnessProgress::Forgotten);
+            .all(|one| *one == WitnessProgress::Lost);
     let mut holding = Holding {
         term: stage.term,
         version: stage.version,
         replicas: Vec::new(),
         enlisted: stage.enlisted,
         activated: false,
-        copies_count: false,
+        witnesses_confirmed: false,
         active: BTreeMap::new(),
         pending: BTreeSet::new(),
         answers: BTreeMap::new(),
@@ -256,8 +269,8 @@
         }
     }
     for (key, copy) in stage.copies {
-        if adds_knowledge(&holding, &copy) {
-            let copy = without_doubt(&holding, copy);
+        if is_more_final(&holding, &copy) {
+            let copy = resolve_holder_conflict(&holding, copy);
             holding.active.remove(&key);
             adopt(&mut holding, copy, context);
         }
@@ -265,7 +278,7 @@
     holding
 }
 
-fn adds_knowledge(holding: &Holding, copy: &CopyRecord) -> bool {
+fn is_more_final(holding: &Holding, copy: &CopyRecord) -> bool {
     match holding.settled.get(&copy.key) {
         Some(settled) if settled.answered => matches!(copy.state, CopyState::Answered(Some(_))),
         Some(_) => matches!(copy.state, CopyState::Answered(_)),
@@ -276,7 +289,7 @@
 /// Makes a claim unknown when the object and the copy name different holders.
 ///
 /// Either may be the later one, and a release by the earlier must not free it.
-fn without_doubt(holding: &Holding, mut copy: CopyRecord) -> CopyRecord {
+fn resolve_holder_conflict(holding: &Holding, mut copy: CopyRecord) -> CopyRecord {
     let stored = holding.active.get(&copy.key).map(|record| &record.state);
     if let Some(ActiveState::Running { holder: stored, .. }) = stored
         && let CopyState::Running { holder, .. } = &copy.state
@@ -308,7 +321,7 @@
 ) -> Option<Quarantine> {
     let since = context.now;
     if lost {
-        let until = since + context.settings.kept_for(false);
+        let until = since + context.settings.retention_of(false);
         return Some(Quarantine { since, until });
     }
     let left = former.map_or(TimeSpan::ZERO, |former| former.quarantine_left);
@@ -349,11 +362,11 @@
     enlisted: &BTreeMap<VmId, VmIncarnation>,
     context: &OwnerContext<'_>,
 ) -> Vec<ReplicaSlot> {
-    let chosen = context.others.iter().filter_map(|vm| {
+    let chosen = context.local_peers.iter().filter_map(|vm| {
         enlisted.get(vm).map(|&incarnation| ReplicaSlot {
             vm: vm.clone(),
             incarnation,
-            silent_since: None,
+            unacknowledged_since: None,
         })
     });
     chosen.take(context.settings.replica_count).collect()
--- a/crates/clementinepond_decide/src/claim/reduce.rs
+++ b/crates/clementinepond_decide/src/claim/reduce.rs
@@ -1,6 +1,5 @@
 //! From an event to effects.
 
-use super::asker;
 use super::assignment::{assign, finish_release, release, roster_changed};
 use super::effect::ClaimEffect;
 use super::event::ClaimEvent;
@@ -10,7 +9,8 @@
 use super::owner::{self, Holding, OwnerContext, ShardEntry, ShardTenure};
 use super::record::ClaimTicket;
 use super::replica;
-use super::shard_step::{flush_step, step_down, with_shard};
+use super::requester;
+use super::shard_step::{step_down, tick_step, with_shard};
 use super::state::ClaimState;
 use crate::port::{ReadReply, StoreReply};
 use clementinepond_types::{LocalTime, VmId};
@@ -34,7 +34,7 @@
 
 fn apply(state: &mut ClaimState, event: ClaimEvent, now: LocalTime) -> Vec<ClaimEffect> {
     match event {
-        ClaimEvent::Ask {
+        ClaimEvent::Requested {
             ticket,
             account,
             route,
@@ -44,13 +44,13 @@
             deadline,
         } => {
             let key = ClaimKey::new(&account, &route, &key);
-            asker::ask(state, ticket, key, fingerprint, date, deadline, now)
+            requester::request(state, ticket, key, fingerprint, date, deadline, now)
         }
         // The grant alone counts: after it the run may have happened.
         ClaimEvent::Dispatched { .. } => Vec::new(),
-        ClaimEvent::Ended { ticket, outcome } => asker::ended(state, ticket, outcome, now),
-        ClaimEvent::NotDispatched { ticket } => asker::not_dispatched(state, ticket, now),
-        ClaimEvent::Abandoned { ticket } => asker::abandoned(state, ticket, now),
+        ClaimEvent::Ended { ticket, outcome } => requester::ended(state, ticket, outcome, now),
+        ClaimEvent::NotDispatched { ticket } => requester::not_dispatched(state, ticket, now),
+        ClaimEvent::Abandoned { ticket } => requester::abandoned(state, ticket, now),
         ClaimEvent::Received { from, message } => received(state, from, message, now),
         ClaimEvent::RosterChanged {
             data_centre,
@@ -87,13 +87,13 @@
             incarnation: asked,
             ticket,
             reply,
-        } if asked == incarnation => asker::answered(state, ticket, reply, now),
+        } if asked == incarnation => requester::answered(state, ticket, reply, now),
         ClaimMessage::ReportAcknowledged {
             incarnation: asked,
             ticket,
-        } if asked == incarnation => asker::acknowledged(state, ticket),
+        } if asked == incarnation => requester::acknowledged(state, ticket),
         ClaimMessage::Answer { .. } | ClaimMessage::ReportAcknowledged { .. } => Vec::new(),
-        ClaimMessage::Ask { key, .. } | ClaimMessage::Report { key, .. } => {
+        ClaimMessage::Request { key, .. } | ClaimMessage::Report { key, .. } => {
             let shard = key.shard(state.settings.shard_count);
             owner_received(state, shard, from, message, now)
         }
@@ -121,7 +121,7 @@
                 step_down(state, shard, term, now);
                 replica::collect(state, shard, term, former, after, now)
             } else {
-                CollectedCopies::Forgotten
+                CollectedCopies::Lost
             };
             let message = ClaimMessage::Collected {
                 shard,
@@ -172,7 +172,7 @@
             term, incarnation, ..
         } if term == current => {
             tenure.stage.enlisted.insert(from, incarnation);
-            owner::taking_tick(ShardEntry::Collecting(Box::new(tenure)), context)
+            owner::takeover_tick(ShardEntry::Collecting(Box::new(tenure)), context)
         }
         _ => ShardEntry::Collecting(Box::new(tenure)),
     }
@@ -185,13 +185,13 @@
     context: &mut OwnerContext<'_>,
 ) -> Result<ShardEntry, Box<ShardTenure<Holding>>> {
     match message {
-        ClaimMessage::Ask {
+        ClaimMessage::Request {
             holder,
             key,
             fingerprint,
             date,
             time_left,
-        } => owner::ask(
+        } => owner::request(
             &mut tenure,
             holder,
             key,
@@ -267,11 +267,11 @@
     let mut effects = Vec::new();
     let tickets: Vec<ClaimTicket> = state.tickets.keys().copied().collect();
     for ticket in tickets {
-        effects.extend(asker::advance(state, ticket, now));
+        effects.extend(requester::advance(state, ticket, now));
     }
     let shards: Vec<ShardNumber> = state.shards.keys().copied().collect();
     for shard in shards {
-        effects.extend(with_shard(state, shard, now, flush_step));
+        effects.extend(with_shard(state, shard, now, tick_step));
     }
     effects.extend(finish_release(state));
     effects
--- a/crates/clementinepond_decide/src/claim/asker.rs
+++ b/crates/clementinepond_decide/src/claim/requester.rs
@@ -7,11 +7,11 @@
 use super::record::ClaimTicket;
 use super::settings::{ClaimMutation, ClaimSettings};
 use super::state::ClaimState;
-use super::ticket::{Asking, CallTicket, Closed, Granted, Reporting, TicketEntry};
+use super::ticket::{CallTicket, Closed, Granted, Reporting, Requesting, TicketEntry};
 use clementinepond_types::LocalTime;
 
 /// Starts a call.
-pub(crate) fn ask(
+pub(crate) fn request(
     state: &mut ClaimState,
     ticket: ClaimTicket,
     key: ClaimKey,
@@ -32,13 +32,13 @@
         fingerprint,
         date,
         deadline: deadline.min(limit),
-        stage: Asking {
+        stage: Requesting {
             next_send: now,
-            patience: now + state.settings.owner_wait,
+            owner_deadline: now + state.settings.owner_wait,
             joined: false,
         },
     };
-    state.tickets.insert(ticket, TicketEntry::Asking(call));
+    state.tickets.insert(ticket, TicketEntry::Requesting(call));
     advance(state, ticket, now)
 }
 
@@ -62,12 +62,12 @@
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     match state.tickets.get(&ticket) {
-        Some(TicketEntry::Asking(call)) => {
+        Some(TicketEntry::Requesting(call)) => {
             if now >= call.deadline {
-                return give_up(state, ticket, ClaimRefusal::DeadlinePassed, now);
+                return fail(state, ticket, ClaimRefusal::DeadlinePassed, now);
             }
-            if now >= call.stage.patience && !call.stage.joined {
-                return give_up(state, ticket, ClaimRefusal::OwnerUnreachable, now);
+            if now >= call.stage.owner_deadline && !call.stage.joined {
+                return fail(state, ticket, ClaimRefusal::OwnerUnreachable, now);
             }
         }
         Some(TicketEntry::Reporting(call)) if now >= call.stage.until => {
@@ -86,9 +86,9 @@
     let shard_count = state.settings.shard_count;
     let holder = state.holder(ticket);
     let (shard, message) = match state.tickets.get_mut(&ticket) {
-        Some(TicketEntry::Asking(call)) if now >= call.stage.next_send => {
+        Some(TicketEntry::Requesting(call)) if now >= call.stage.next_send => {
             call.stage.next_send = resend_at;
-            let message = ClaimMessage::Ask {
+            let message = ClaimMessage::Request {
                 holder,
                 key: call.key,
                 fingerprint: call.fingerprint,
@@ -132,14 +132,14 @@
     }
 }
 
-fn give_up(
+fn fail(
     state: &mut ClaimState,
     ticket: ClaimTicket,
     reason: ClaimRefusal,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     let joined = match state.tickets.get(&ticket) {
-        Some(TicketEntry::Asking(call)) => call.stage.joined,
+        Some(TicketEntry::Requesting(call)) => call.stage.joined,
         _ => return Vec::new(),
     };
     let end = if joined {
@@ -167,7 +167,7 @@
         until: now + state.settings.report_limit,
     };
     let closed = match state.tickets.remove(&ticket) {
-        Some(TicketEntry::Asking(call)) => call.enter(stage),
+        Some(TicketEntry::Requesting(call)) => call.enter(stage),
         Some(TicketEntry::Granted(call)) => call.enter(stage),
         Some(TicketEntry::Closed(call)) => call.enter(stage),
         Some(other @ TicketEntry::Reporting(_)) => {
@@ -188,7 +188,7 @@
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     match state.tickets.get_mut(&ticket) {
-        Some(TicketEntry::Asking(call)) => {
+        Some(TicketEntry::Requesting(call)) => {
             if reply == OwnerReply::Joined {
                 call.stage.joined = true;
                 return Vec::new();
@@ -221,11 +221,11 @@
 }
 
 fn grant(state: &mut ClaimState, ticket: ClaimTicket, now: LocalTime) -> Vec<ClaimEffect> {
-    let Some(TicketEntry::Asking(call)) = state.tickets.get(&ticket) else {
+    let Some(TicketEntry::Requesting(call)) = state.tickets.get(&ticket) else {
         return Vec::new();
     };
     if now >= call.deadline {
-        return give_up(state, ticket, ClaimRefusal::DeadlinePassed, now);
+        return fail(state, ticket, ClaimRefusal::DeadlinePassed, now);
     }
     let deadline = call.deadline;
     let call = call.clone().enter(Granted);
@@ -289,7 +289,7 @@
     ticket: ClaimTicket,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
-    give_up(state, ticket, ClaimRefusal::Abandoned, now)
+    fail(state, ticket, ClaimRefusal::Abandoned, now)
 }
 
 /// Takes the owner's word that a report is durable.
--- a/crates/clementinepond_decide/src/claim/settings.rs
+++ b/crates/clementinepond_decide/src/claim/settings.rs
@@ -108,7 +108,7 @@
 impl ClaimSettings {
     /// Returns the time for which a record is kept after it was last changed.
     #[must_use]
-    pub(crate) fn kept_for(&self, dated: bool) -> TimeSpan {
+    pub(crate) fn retention_of(&self, dated: bool) -> TimeSpan {
         if dated {
             // A key may be dated ahead by the margin, judged by a clock that
             // is behind by the margin, and asked for until the ask limit.
--- a/crates/clementinepond_decide/src/claim/shard_step.rs
+++ b/crates/clementinepond_decide/src/claim/shard_step.rs
@@ -21,10 +21,10 @@
     let Some(entry) = state.shards.remove(&shard) else {
         return Vec::new();
     };
-    let others = others(state, shard);
-    let strangers = strangers(state);
+    let local_peers = local_peers(state, shard);
+    let remote_peers = remote_peers(state);
     let epoch = state
-        .home_roster()
+        .local_roster()
         .map(|roster| roster.epoch)
         .unwrap_or_default();
     let mut context = OwnerContext {
@@ -33,8 +33,8 @@
         incarnation: state.incarnation,
         writes: &mut state.writes,
         epoch,
-        others,
-        strangers,
+        local_peers,
+        remote_peers,
         now,
         effects: Vec::new(),
     };
@@ -42,7 +42,7 @@
     let entry = match outcome {
         Ok(entry) => Ok(entry),
         Err(tenure) => {
-            let next = owner::deposed(&tenure, &mut context);
+            let next = owner::restart_takeover(&tenure, &mut context);
             Err((tenure, next))
         }
     };
@@ -50,7 +50,7 @@
     let entry = match entry {
         Ok(entry) => entry,
         Err((tenure, next)) => {
-            surrender(state, *tenure, 0, now);
+            retain_as_replica(state, *tenure, 0, now);
             if state.releasing || state.owner(shard).as_ref() != Some(&state.vm) {
                 return effects;
             }
@@ -67,16 +67,16 @@
     effects
 }
 
-fn others(state: &ClaimState, shard: ShardNumber) -> Vec<VmId> {
+fn local_peers(state: &ClaimState, shard: ShardNumber) -> Vec<VmId> {
     let members = state
-        .home_roster()
+        .local_roster()
         .map_or(&[][..], |roster| &roster.members);
     let mut ranked = rank_members(shard, members);
     ranked.retain(|vm| *vm != state.vm);
     ranked
 }
 
-fn strangers(state: &ClaimState) -> Vec<VmId> {
+fn remote_peers(state: &ClaimState) -> Vec<VmId> {
     let rosters = state.rosters.iter();
     let foreign = rosters.filter(|(data_centre, _)| **data_centre != state.data_centre);
     foreign
@@ -85,7 +85,12 @@
 }
 
 /// Keeps the claims of a lost shard for its next owner.
-fn surrender(state: &mut ClaimState, tenure: ShardTenure<Holding>, promised: u64, now: LocalTime) {
+fn retain_as_replica(
+    state: &mut ClaimState,
+    tenure: ShardTenure<Holding>,
+    promised: u64,
+    now: LocalTime,
+) {
     let stage = tenure.stage;
     if !stage.activated {
         // Nothing was granted by copies in this term.
@@ -119,11 +124,11 @@
         return;
     }
     if let Some(ShardEntry::Holding(tenure)) = state.shards.remove(&shard) {
-        surrender(state, *tenure, term, now);
+        retain_as_replica(state, *tenure, term, now);
     }
 }
 
-pub(crate) fn flush_step(
+pub(crate) fn tick_step(
     entry: ShardEntry,
     context: &mut OwnerContext<'_>,
 ) -> Result<ShardEntry, Box<ShardTenure<Holding>>> {
@@ -134,6 +139,6 @@
             owner::flush(&mut tenure, context);
             ShardEntry::Holding(tenure)
         }
-        other => owner::taking_tick(other, context),
+        other => owner::takeover_tick(other, context),
     })
 }
--- a/crates/clementinepond_decide/src/claim/state.rs
+++ b/crates/clementinepond_decide/src/claim/state.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimCounts {
     /// Calls that wait for an answer of an owner.
-    pub asking: usize,
+    pub requesting: usize,
     /// Calls that hold a grant.
     pub granted: usize,
     /// Reports that are not confirmed.
@@ -29,7 +29,7 @@
     /// Shards that this VM owns and answers for.
     pub held_shards: usize,
     /// Shards that this VM is taking over.
-    pub taking_shards: usize,
+    pub takeover_shards: usize,
     /// Claims in the held shards.
     pub records: usize,
     /// Claims that are copied here for other owners.
@@ -78,11 +78,11 @@
     #[must_use]
     pub fn counts(&self) -> ClaimCounts {
         let mut counts = ClaimCounts {
-            asking: 0,
+            requesting: 0,
             granted: 0,
             reporting: 0,
             held_shards: 0,
-            taking_shards: 0,
+            takeover_shards: 0,
             records: 0,
             copies: self
                 .replicas
@@ -92,7 +92,7 @@
         };
         for ticket in self.tickets.values() {
             match ticket {
-                TicketEntry::Asking(_) => counts.asking += 1,
+                TicketEntry::Requesting(_) => counts.requesting += 1,
                 TicketEntry::Granted(_) => counts.granted += 1,
                 TicketEntry::Reporting(_) => counts.reporting += 1,
                 TicketEntry::Closed(_) => {}
@@ -103,7 +103,7 @@
                 counts.held_shards += 1;
                 counts.records += tenure.stage.active.len() + tenure.stage.settled.len();
             } else {
-                counts.taking_shards += 1;
+                counts.takeover_shards += 1;
             }
         }
         counts
@@ -125,7 +125,7 @@
     }
 
     /// Returns the roster of this VM's data centre.
-    pub(crate) fn home_roster(&self) -> Option<&RosterView> {
+    pub(crate) fn local_roster(&self) -> Option<&RosterView> {
         self.rosters.get(&self.data_centre)
     }
 
--- a/crates/clementinepond_decide/src/claim/ticket.rs
+++ b/crates/clementinepond_decide/src/claim/ticket.rs
@@ -6,9 +6,9 @@
 
 /// The call waits for the owner's answer.
 #[derive(Debug, Clone)]
-pub(crate) struct Asking {
+pub(crate) struct Requesting {
     pub(crate) next_send: LocalTime,
-    pub(crate) patience: LocalTime,
+    pub(crate) owner_deadline: LocalTime,
     pub(crate) joined: bool,
 }
 
@@ -56,7 +56,7 @@
 /// One call in any stage.
 #[derive(Debug, Clone)]
 pub(crate) enum TicketEntry {
-    Asking(CallTicket<Asking>),
+    Requesting(CallTicket<Requesting>),
     Granted(CallTicket<Granted>),
     Reporting(CallTicket<Reporting>),
     Closed(CallTicket<Closed>),
--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request_part.rs
@@ -151,7 +151,7 @@
         else {
             return;
         };
-        self.take_claim(ClaimEvent::Ask {
+        self.take_claim(ClaimEvent::Requested {
             ticket: ClaimTicket::new(ticket.get()),
             account,
             route,
--- a/crates/clementinepond_decide/tests/claim_guards.rs
+++ b/crates/clementinepond_decide/tests/claim_guards.rs
@@ -182,7 +182,7 @@
     fn ask(&mut self, at: &VmId, key: &str, body: &[u8]) -> ClaimTicket {
         self.next_ticket += 1;
         let ticket = ClaimTicket::new(self.next_ticket);
-        let event = ClaimEvent::Ask {
+        let event = ClaimEvent::Requested {
             ticket,
             account: "account".parse::<AccountId>().unwrap(),
             route: "submit".parse::<RouteName>().unwrap(),
--- a/crates/clementinepond_measure/src/experiment/claims/baseline.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/baseline.rs
@@ -47,7 +47,7 @@
 
     pub(super) fn apply(&mut self, event: ClaimEvent, now: LocalTime) -> Vec<ClaimEffect> {
         match event {
-            ClaimEvent::Ask {
+            ClaimEvent::Requested {
                 ticket,
                 account,
                 route,
--- a/crates/clementinepond_measure/src/experiment/claims/callers.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/callers.rs
@@ -94,7 +94,7 @@
         } else {
             KeyDate::Undated
         };
-        Some(ClaimEvent::Ask {
+        Some(ClaimEvent::Requested {
             ticket: ClaimTicket::new(ticket),
             account,
             route,
@@ -183,7 +183,7 @@
                 let call = self.calls.get(&ticket.get());
                 let has_run = call.is_some_and(|call| {
                     let key_runs = self.keys.get(&call.key).map_or(0, |key| key.runs);
-                    call.is_dispatched || (reason.clears_key() && key_runs > 0)
+                    call.is_dispatched || (reason.rules_out_earlier_run() && key_runs > 0)
                 });
                 self.tally.false_not_run += u64::from(has_run);
                 self.end(ticket, CallEnd::NotRun, at);
