--- a/crates/clementinepond_decide/src/claim/assignment.rs
+++ b/crates/clementinepond_decide/src/claim/assignment.rs
@@ -1,4 +1,4 @@
-//! Which shards this VM owns, as rosters change and when it stops.
+//! Assignment of shards to this VM by the rosters, and their release on shutdown.
 
 use super::effect::ClaimEffect;
 use super::key::ShardNumber;
@@ -7,6 +7,7 @@
 use super::state::{ClaimState, RosterView};
 use clementinepond_types::{DataCentreId, Epoch, LocalTime, VmId};
 
+/// Adopts a newer roster, ends the runs of VMs that left it and reassigns shards.
 pub(crate) fn roster_changed(
     state: &mut ClaimState,
     data_centre: DataCentreId,
@@ -18,21 +19,21 @@
     if former.is_some_and(|former| former.epoch >= epoch) {
         return Vec::new();
     }
-    let lost: Vec<VmId> = former.map_or_else(Vec::new, |former| {
+    let removed: Vec<VmId> = former.map_or_else(Vec::new, |former| {
         let gone = former.members.iter().filter(|vm| !members.contains(vm));
         gone.cloned().collect()
     });
     state
         .rosters
         .insert(data_centre, RosterView { epoch, members });
-    let mut effects = end_runs_of_removed_vms(state, &lost, now);
+    let mut effects = end_runs_of_removed_vms(state, &removed, now);
     effects.extend(assign(state, now));
     effects
 }
 
 fn end_runs_of_removed_vms(
     state: &mut ClaimState,
-    lost: &[VmId],
+    removed: &[VmId],
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     let shards: Vec<ShardNumber> = state.shards.keys().copied().collect();
@@ -41,7 +42,7 @@
         effects.extend(with_shard(state, shard, now, |entry, context| {
             Ok(match entry {
                 ShardEntry::Holding(mut tenure) => {
-                    for vm in lost {
+                    for vm in removed {
                         owner::holder_lost(&mut tenure, vm, context);
                     }
                     ShardEntry::Holding(tenure)
@@ -53,12 +54,13 @@
     effects
 }
 
-/// Takes the shards that the roster gives to this VM and closes the others.
+/// Starts the takeover of shards that the rosters assign to this VM and closes the
+/// others.
 pub(crate) fn assign(state: &mut ClaimState, now: LocalTime) -> Vec<ClaimEffect> {
     let assigned = state.assigned_shards();
     let mut effects = close_others(state, &assigned, now);
     for shard in assigned {
-        let reopened = match state.shards.get_mut(&shard) {
+        let is_present = match state.shards.get_mut(&shard) {
             Some(ShardEntry::Holding(tenure)) => {
                 tenure.stage.closing = false;
                 true
@@ -66,7 +68,7 @@
             Some(_) => true,
             None => false,
         };
-        if !reopened {
+        if !is_present {
             let entry = ShardEntry::Reading(ShardTenure {
                 shard,
                 stage: owner::Reading {
@@ -83,6 +85,7 @@
     effects
 }
 
+/// Closes held shards that are not assigned to this VM, and stops takeovers of them.
 fn close_others(
     state: &mut ClaimState,
     assigned: &[ShardNumber],
@@ -106,6 +109,7 @@
     effects
 }
 
+/// Closes all shards because this VM stops.
 pub(crate) fn release(state: &mut ClaimState, now: LocalTime) -> Vec<ClaimEffect> {
     state.releasing = true;
     let mut effects = close_others(state, &[], now);
@@ -113,7 +117,8 @@
     effects
 }
 
-/// Drops the shards whose object holds everything.
+/// Drops closed shards whose stored object is complete. Returns `Released` when a
+/// stopping VM drops its last shard.
 pub(crate) fn finish_release(state: &mut ClaimState) -> Vec<ClaimEffect> {
     let before = state.shards.len();
     state.shards.retain(|_, entry| match entry {
--- a/crates/clementinepond_decide/src/claim/event.rs
+++ b/crates/clementinepond_decide/src/claim/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to claims.
+//! Events of the claim part.
 
 use super::key::{BodyFingerprint, KeyDate, ShardNumber};
 use super::message::ClaimMessage;
@@ -8,36 +8,37 @@
 use clementinepond_types::{AccountId, DataCentreId, Epoch, LocalTime, RouteName, VmId};
 use serde::{Deserialize, Serialize};
 
-/// End of a run.
+/// Outcome of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// The endpoint answered; the answer is kept if it is small enough.
+    /// The endpoint answered. `None` if the answer is not kept, for example because
+    /// it exceeds `answer_limit`.
     Answered(Option<RecordedAnswer>),
-    /// The request may have run; no complete answer came.
+    /// The request may have run, but no complete answer arrived.
     Unknown,
 }
 
-/// One event of claims.
+/// Event of the claim part.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ClaimEvent {
-    /// A keyed call arrived at this VM.
+    /// A call with an idempotency key arrived at this VM and requests its claim.
     Requested {
-        /// Number of the call; never used twice by one process.
+        /// Number of the call; a process must never reuse one.
         ticket: ClaimTicket,
         /// Client account of the call.
         account: AccountId,
         /// Route of the call.
         route: RouteName,
-        /// The caller's idempotency key.
+        /// Caller's idempotency key.
         key: Box<str>,
-        /// Moment that the key names, from [`super::key_date`].
+        /// Creation time of the key, from [`super::key_date`].
         date: KeyDate,
         /// Hash of the request body.
         fingerprint: BodyFingerprint,
-        /// Latest moment of dispatch.
+        /// Latest time at which the call may be dispatched.
         deadline: LocalTime,
     },
-    /// The granted call leaves for an endpoint now.
+    /// The granted call is sent to an endpoint now.
     Dispatched {
         /// Number of the call.
         ticket: ClaimTicket,
@@ -46,55 +47,55 @@
     Ended {
         /// Number of the call.
         ticket: ClaimTicket,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: RunOutcome,
     },
-    /// The granted call provably ran nowhere and will not.
+    /// The granted call provably did not run and will not run.
     NotDispatched {
         /// Number of the call.
         ticket: ClaimTicket,
     },
-    /// The caller of a call that is not yet granted went away.
+    /// The caller disconnected before the grant.
     Abandoned {
         /// Number of the call.
         ticket: ClaimTicket,
     },
-    /// A message came from another VM.
+    /// A message arrived from another VM.
     Received {
-        /// Sender.
+        /// Sending VM.
         from: VmId,
-        /// Message.
+        /// Received message.
         message: ClaimMessage,
     },
-    /// A roster was learned.
+    /// A roster became known; ignored unless its epoch is newer than the known one.
     RosterChanged {
         /// Data centre of the roster.
         data_centre: DataCentreId,
-        /// Generation of the roster.
+        /// Epoch of the roster.
         epoch: Epoch,
-        /// VMs that own shards.
+        /// VMs of the data centre among which shards are assigned.
         members: Vec<VmId>,
     },
-    /// A conditional update was answered.
+    /// The conditional update of a shard's object was answered.
     StoreReplied {
         /// Shard of the object.
         shard: ShardNumber,
-        /// Number of the write, from the object that was sent.
+        /// Number of the write, as in the written object.
         write: u64,
-        /// Answer.
+        /// Platform's answer.
         reply: StoreReply<ShardObject>,
     },
-    /// A read was answered.
+    /// The read of a shard's object was answered.
     ReadReplied {
         /// Shard of the object.
         shard: ShardNumber,
-        /// Answer.
+        /// Platform's answer.
         reply: ReadReply<ShardObject>,
     },
-    /// Time passed.
+    /// Periodic event that drives timeouts and resends.
     Tick,
-    /// The data centres that own shards changed.
+    /// The list of data centres that own shards changed.
     DataCentresChanged(Vec<DataCentreId>),
-    /// This VM is to hand its shards over and stop.
+    /// This VM must hand over its shards because it stops.
     Release,
 }
--- a/crates/clementinepond_decide/src/claim/key.rs
+++ b/crates/clementinepond_decide/src/claim/key.rs
@@ -1,4 +1,4 @@
-//! Keys of claims and the moment that a caller's key names.
+//! Claim keys, request fingerprints and creation times of idempotency keys.
 
 use clementinepond_types::{AccountId, RouteName, TimeSpan};
 use derive_more::Display;
@@ -8,10 +8,10 @@
 pub(crate) const CLAIM_KEY_LENGTH: usize = 12;
 /// Length of a UUID in its text form.
 const UUID_TEXT_LENGTH: usize = 36;
-/// Hexadecimal digits that hold the milliseconds of a version 7 UUID.
+/// Number of hexadecimal digits of a version 7 UUID's Unix time in milliseconds.
 const UUID_TIME_DIGITS: usize = 12;
 
-/// Number of one shard of claims.
+/// Number of a claim shard, from zero.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,7 +25,7 @@
         Self(number)
     }
 
-    /// Returns the plain number.
+    /// Returns the shard number.
     #[must_use]
     pub const fn get(self) -> u32 {
         self.0
@@ -37,13 +37,13 @@
 pub struct ClaimKey([u8; CLAIM_KEY_LENGTH]);
 
 impl ClaimKey {
-    /// Hashes the parts of a key.
+    /// Hashes the account, the route and the caller's key.
     #[must_use]
     pub fn new(account: &AccountId, route: &RouteName, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
-        for part in [account.as_str(), route.as_str(), key] {
-            hasher.update(&(part.len() as u64).to_le_bytes());
-            hasher.update(part.as_bytes());
+        for field in [account.as_str(), route.as_str(), key] {
+            hasher.update(&(field.len() as u64).to_le_bytes());
+            hasher.update(field.as_bytes());
         }
         let mut bytes = [0; CLAIM_KEY_LENGTH];
         bytes.copy_from_slice(&hasher.finalize().as_bytes()[..CLAIM_KEY_LENGTH]);
@@ -58,7 +58,7 @@
         &self.0
     }
 
-    /// Returns the shard that holds the key.
+    /// Returns the shard of the key; `shard_count` must be the same on all VMs.
     #[must_use]
     pub fn shard(&self, shard_count: u32) -> ShardNumber {
         let head = [self.0[0], self.0[1], self.0[2], self.0[3]];
@@ -66,7 +66,8 @@
     }
 }
 
-/// Short hash of a request body, which tells a repeat from another request.
+/// Short hash of a request body, which distinguishes a retry from another request
+/// under the same key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BodyFingerprint(u32);
@@ -89,35 +90,35 @@
     }
 }
 
-/// Moment that a caller's key names, relative to the wall clock.
+/// Creation time of a caller's idempotency key, relative to the wall clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyDate {
-    /// The key names no moment.
+    /// The key carries no creation time.
     Undated,
-    /// The key was made this long ago.
+    /// The key was created this long ago.
     Past(TimeSpan),
-    /// The key names a moment this far ahead.
+    /// The key's creation time is this far in the future.
     Future(TimeSpan),
 }
 
 impl KeyDate {
-    /// Returns whether the key names a moment.
+    /// Returns whether the key carries a creation time.
     #[must_use]
     pub const fn is_dated(self) -> bool {
         !matches!(self, Self::Undated)
     }
 }
 
-/// Reads the moment that a version 7 UUID names.
+/// Reads the creation time of a version 7 UUID; other keys are undated.
 #[must_use]
 pub fn key_date(key: &str, unix_millis: u64) -> KeyDate {
-    let Some(named) = uuid_millis(key) else {
+    let Some(key_millis) = uuid_millis(key) else {
         return KeyDate::Undated;
     };
-    if named > unix_millis {
-        KeyDate::Future(TimeSpan::from_millis(named - unix_millis))
+    if key_millis > unix_millis {
+        KeyDate::Future(TimeSpan::from_millis(key_millis - unix_millis))
     } else {
-        KeyDate::Past(TimeSpan::from_millis(unix_millis - named))
+        KeyDate::Past(TimeSpan::from_millis(unix_millis - key_millis))
     }
 }
 
@@ -127,14 +128,14 @@
         return None;
     }
     let dashes = [8, 13, 18, 23];
-    let shaped = bytes.iter().enumerate().all(|(place, byte)| {
-        if dashes.contains(&place) {
+    let is_well_formed = bytes.iter().enumerate().all(|(index, byte)| {
+        if dashes.contains(&index) {
             *byte == b'-'
         } else {
             byte.is_ascii_hexdigit()
         }
     });
-    if !shaped {
+    if !is_well_formed {
         return None;
     }
     let digits: String = key.chars().filter(|&c| c != '-').collect();
--- a/crates/clementinepond_decide/src/claim/message.rs
+++ b/crates/clementinepond_decide/src/claim/message.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other about claims.
+//! Messages between VMs about claims.
 
 use super::effect::ClaimRefusal;
 use super::event::RunOutcome;
@@ -7,45 +7,45 @@
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Answer of a shard's owner to a call.
+/// Answer of a shard's owner to a claim request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerReply {
-    /// The call may run.
+    /// The claim is granted; the call may run.
     Granted,
-    /// Another call under the key is running.
+    /// Another call under the key is running; the requester waits for its outcome.
     Joined,
-    /// The key's call ran.
+    /// A call under the key has run; `None` if its answer is not kept.
     Replay(Option<RecordedAnswer>),
-    /// The key's call may have run.
+    /// A call under the key may have run.
     Unknown,
-    /// The call may not run.
+    /// The claim is refused; the call must not run.
     Refused(ClaimRefusal),
 }
 
-/// Report of the VM that was granted a claim.
+/// Report of the VM that requested a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunReport {
     /// The run ended.
     Ended(RunOutcome),
-    /// Nothing ran, and nothing will run under this grant.
+    /// Nothing ran and nothing will run for this call.
     NotRun,
 }
 
-/// State of a claim in a copy.
+/// State of a copied claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CopyState {
-    /// Granted, or about to be.
+    /// Granted, or granted as soon as it is durable.
     Running {
-        /// Call that may run.
+        /// Call that holds the claim.
         holder: RunHolder,
         /// Time left until the outcome counts as unknown.
         time_left: TimeSpan,
     },
-    /// Ran, and was answered.
+    /// Ran and was answered; `None` if the answer is not kept.
     Answered(Option<RecordedAnswer>),
     /// May have run.
     Unknown,
-    /// Provably did not run; the claim is free again.
+    /// Provably did not run; the key may be claimed again.
     Released,
 }
 
@@ -56,144 +56,144 @@
     pub key: ClaimKey,
     /// Hash of the request body.
     pub fingerprint: BodyFingerprint,
-    /// Whether the key names a moment.
+    /// Whether the key carries a creation time.
     pub dated: bool,
-    /// Number of the change; larger is newer within a term.
+    /// Sequence number of the change; larger is newer within a term.
     pub sequence: u64,
-    /// State.
+    /// State of the claim.
     pub state: CopyState,
 }
 
-/// What a witness holds of a former term.
+/// Records of a former term that a witness holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CollectedCopies {
-    /// Some records, in order of key.
+    /// One batch of records, in order of key.
     Records {
-        /// Records.
+        /// Copied claims.
         records: Vec<CopyRecord>,
-        /// Whether there are records after these.
+        /// Whether more records follow this batch.
         more: bool,
     },
-    /// The witness restarted and holds nothing.
+    /// The process named as a witness is gone, and its copies with it.
     Lost,
 }
 
-/// One message between VMs.
+/// Message between VMs about claims.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ClaimMessage {
-    /// Asks the owner for a claim.
+    /// Requests a claim from the owner.
     Request {
-        /// Call that wants to run.
+        /// Call that requests the claim.
         holder: RunHolder,
         /// Key of the claim.
         key: ClaimKey,
         /// Hash of the request body.
         fingerprint: BodyFingerprint,
-        /// Moment that the caller's key names.
+        /// Creation time of the caller's key, relative to its arrival.
         date: KeyDate,
-        /// Time left until the latest moment of dispatch.
+        /// Time left until the call's dispatch deadline.
         time_left: TimeSpan,
     },
-    /// Answers a call.
+    /// Answers a claim request.
     Answer {
-        /// Process that asked.
+        /// Incarnation of the requesting process.
         incarnation: VmIncarnation,
-        /// Call that asked.
+        /// Ticket of the requesting call.
         ticket: ClaimTicket,
-        /// Answer.
+        /// Owner's answer.
         reply: OwnerReply,
     },
-    /// Reports on a granted claim.
+    /// Reports how a call ended to the owner.
     Report {
-        /// Call that was granted the claim.
+        /// Call that requested the claim.
         holder: RunHolder,
         /// Key of the claim.
         key: ClaimKey,
         /// Hash of the request body.
         fingerprint: BodyFingerprint,
-        /// Whether the key names a moment.
+        /// Whether the key carries a creation time.
         dated: bool,
-        /// Report.
+        /// How the call ended.
         report: RunReport,
     },
-    /// Confirms that a report is durable.
+    /// Confirms a report: one of a run once it is durable, `NotRun` at once.
     ReportAcknowledged {
-        /// Process that reported.
+        /// Incarnation of the reporting process.
         incarnation: VmIncarnation,
-        /// Call that reported.
+        /// Ticket of the reporting call.
         ticket: ClaimTicket,
     },
-    /// Asks a VM to become a replica.
+    /// Requests a VM to become a replica.
     Enlist {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
         /// Term of the owner.
         term: u64,
     },
-    /// Agrees to be a replica.
+    /// Accepts to be a replica.
     Enlisted {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
         /// Term of the owner.
         term: u64,
-        /// Process that agrees.
+        /// Incarnation of the accepting process.
         incarnation: VmIncarnation,
     },
     /// Copies claims to a replica.
     Copy {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
         /// Term of the owner.
         term: u64,
-        /// Replica process that the copies are meant for.
+        /// Incarnation of the replica process that the copies are addressed to.
         incarnation: VmIncarnation,
-        /// Changes up to this one are on the platform.
+        /// Sequence number up to which all changes are stored in the platform.
         flushed: u64,
-        /// Changed claims.
+        /// Copies of the changed claims.
         records: Vec<CopyRecord>,
     },
-    /// Confirms copies.
+    /// Confirms that copies are held.
     CopyAcknowledged {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
         /// Term of the owner.
         term: u64,
-        /// Process that holds the copies.
+        /// Incarnation of the process that holds the copies.
         incarnation: VmIncarnation,
-        /// Claims and numbers of their changes.
+        /// Keys of the copied claims with the sequence numbers of their changes.
         copied: Vec<(ClaimKey, u64)>,
     },
-    /// Refuses copies, because a newer owner is known.
+    /// Refuses copies because a newer term is known.
     CopyRefused {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
-        /// Term of the newer owner.
+        /// Newest known term.
         term: u64,
     },
-    /// Asks a witness of a former term for its records.
+    /// Requests the records of a former term from a witness.
     Collect {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
         /// Term of the new owner.
         term: u64,
-        /// Term whose records are wanted.
+        /// Former term whose records are requested.
         former: u64,
-        /// Witness process that is meant.
+        /// Incarnation of the witness process.
         incarnation: VmIncarnation,
-        /// Key after which records are wanted.
+        /// Key after which the batch starts; `None` for the first batch.
         after: Option<ClaimKey>,
     },
-    /// Hands records over to a new owner.
+    /// Returns one batch of a witness's records to the new owner.
     Collected {
-        /// Shard.
+        /// Number of the shard.
         shard: ShardNumber,
         /// Term of the new owner.
         term: u64,
-        /// Witness process that was meant.
+        /// Incarnation of the requested witness process.
         incarnation: VmIncarnation,
-        /// Key after which the records follow.
+        /// Key after which the batch starts; `None` for the first batch.
         after: Option<ClaimKey>,
-        /// Records.
+        /// Records of the batch.
         copies: CollectedCopies,
     },
 }
--- a/crates/clementinepond_decide/src/claim/mod.rs
+++ b/crates/clementinepond_decide/src/claim/mod.rs
@@ -2,20 +2,22 @@
 //!
 //! A claim key is a hash of the client account, the route and the caller's
 //! idempotency key. It selects a shard, the shard a data centre, and that
-//! data centre's roster one owner VM. A VM that receives a call asks the owner
-//! and runs the call only after the owner granted the claim. The owner grants
-//! a claim once it is durable: stored in the shard's platform object, or
+//! data centre's roster one owner VM. A VM that receives a call requests the
+//! claim from the owner and dispatches the call only after the grant. The owner
+//! grants a claim once it is durable: stored in the shard's platform object, or
 //! acknowledged by every replica that the stored object names as a witness.
 //!
-//! An owner change is two steps. One witness of the former term hands over its
-//! records and promises to acknowledge no older term; since a grant needs
-//! every replica, one promise ends grants by replicas. Then a conditional
-//! update on the object as it was first read writes the new term, so that no
-//! write of the former owner can have come between or can follow.
+//! A takeover of a shard has two steps. First, one witness of the former term
+//! returns its records and promises to acknowledge no older term. Since a grant
+//! needs the acknowledgement of every replica, one such promise stops all grants
+//! of the former owner through replicas. Then the new owner writes its term with
+//! a conditional update against the object version that it read first. A write of
+//! the former owner in between makes this update fail, and a later one fails
+//! itself.
 //!
-//! Only the VM that was granted a claim can run it, at most once, and only it
-//! can report that nothing ran. A claim whose outcome is not reported becomes
-//! unknown and is never granted again.
+//! Only the call that was granted a claim may run, at most once, and only its VM
+//! can report that it did not run. The owner marks a claim without a report as
+//! unknown and does not grant it again while its record is kept.
 
 mod assignment;
 mod effect;
--- a/crates/clementinepond_decide/src/claim/object.rs
+++ b/crates/clementinepond_decide/src/claim/object.rs
@@ -1,9 +1,9 @@
 //! The platform object of one shard.
 //!
-//! Ended claims are kept as text of fixed width, grouped by the time for
-//! which they are still kept: key and fingerprint in hexadecimal and one
-//! letter. Lengths of time count from the write; a reader counts them from
-//! the start of its read, which keeps records longer, never shorter.
+//! Ended claims are stored as text records of fixed width, batched by their
+//! remaining retention: key and fingerprint in hexadecimal, then one letter for
+//! the outcome. Durations in the object count from its write. A reader counts
+//! them from the start of its read, so records are kept longer, never shorter.
 
 use super::key::{BodyFingerprint, CLAIM_KEY_LENGTH, ClaimKey};
 use super::owner::SettledRecord;
@@ -13,91 +13,91 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Hexadecimal digits of a key.
+/// Number of hexadecimal digits of a key.
 const KEY_DIGITS: usize = 2 * CLAIM_KEY_LENGTH;
-/// Hexadecimal digits of a fingerprint.
+/// Number of hexadecimal digits of a fingerprint.
 const FINGERPRINT_DIGITS: usize = 8;
-/// Characters of one ended claim.
+/// Number of characters of one ended claim.
 pub(crate) const RECORD_WIDTH: usize = KEY_DIGITS + FINGERPRINT_DIGITS + 1;
-/// Upper bound of the characters of one running claim.
+/// Upper bound of the size of one running claim, in characters.
 pub(crate) const RUNNING_RECORD_MAX_SIZE: usize = 400;
-/// Upper bound of the characters of everything else in an object.
+/// Upper bound of the size of everything else in an object, in characters.
 pub(crate) const OBJECT_OVERHEAD: usize = 4_096;
-/// Number of groups that the retention window is cut into.
+/// Number of batches per retention window.
 const BATCHES_PER_RETENTION: u64 = 16;
 
-/// Process that holds copies of claims which are not in the object.
+/// Process that may hold copies of claims which the object lacks.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ShardWitness {
-    /// VM.
+    /// VM of the process.
     pub vm: VmId,
-    /// Process on that VM.
+    /// Incarnation of the process on that VM.
     pub incarnation: VmIncarnation,
 }
 
-/// One claim whose outcome is open.
+/// Claim that is granted and whose outcome is not known yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningRecord {
     /// Key of the claim.
     pub key: ClaimKey,
     /// Hash of the request body.
     pub fingerprint: BodyFingerprint,
-    /// Whether the key names a moment.
+    /// Whether the key carries a creation time.
     pub dated: bool,
-    /// Call that may run.
+    /// Call that holds the grant.
     pub holder: RunHolder,
     /// Time left until the outcome counts as unknown.
     pub time_left: TimeSpan,
 }
 
-/// Ended claims that are kept equally long.
+/// Ended claims with the same remaining retention.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordBatch {
-    /// Time for which the records are still kept.
+    /// Remaining retention of the records.
     pub time_left: TimeSpan,
-    /// Records of fixed width, one after the other.
+    /// Concatenated records of fixed width.
     pub records: Box<str>,
 }
 
-/// Content of a shard's platform object.
+/// Content of a shard's object in the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardObject {
-    /// Number of the owner change; grows by one with each.
+    /// Number of the ownership term; each takeover increases it by one.
     pub term: u64,
-    /// Roster generation that made the holder the owner.
+    /// Roster epoch of the holder at the time of the write.
     pub epoch: Epoch,
     /// VM that wrote the object.
     pub holder: VmId,
-    /// Process that wrote the object.
+    /// Incarnation of the process that wrote the object.
     pub incarnation: VmIncarnation,
     /// Number of the write within that process.
     pub write: u64,
-    /// Processes that may hold claims which are not in the object.
+    /// Processes that may hold claims which the object lacks; empty if there are none.
     pub witnesses: Vec<ShardWitness>,
-    /// Time for which keys of unknown age are refused.
+    /// Remaining time of the quarantine; zero for none.
     pub quarantine_left: TimeSpan,
-    /// Claims whose outcome is open.
+    /// Granted claims whose outcome is not known yet.
     pub running: Vec<RunningRecord>,
-    /// Ended claims.
+    /// Ended claims, batched by remaining retention.
     pub batches: Vec<RecordBatch>,
 }
 
-/// Writes ended claims in groups.
+/// Encodes ended claims in batches; the remaining retention is rounded up.
 pub(crate) fn encode_batches(
     settled: &BTreeMap<ClaimKey, SettledRecord>,
     retention: TimeSpan,
     now: LocalTime,
 ) -> Vec<RecordBatch> {
-    let width = (retention.micros() / BATCHES_PER_RETENTION).max(1);
+    let batch_span = (retention.micros() / BATCHES_PER_RETENTION).max(1);
     let mut groups: BTreeMap<u64, String> = BTreeMap::new();
     for (key, record) in settled {
-        let group = now.until(record.expires_at).micros().div_ceil(width);
+        let group = now.until(record.expires_at).micros().div_ceil(batch_span);
         encode_record(groups.entry(group).or_default(), key, record);
     }
     groups
         .into_iter()
         .map(|(group, records)| RecordBatch {
-            time_left: TimeSpan::from_micros(group.saturating_mul(width)),
+            time_left: TimeSpan::from_micros(group.saturating_mul(batch_span)),
             records: records.into(),
         })
         .collect()
@@ -117,7 +117,7 @@
     });
 }
 
-/// Reads ended claims; lengths of time count from `read_at`.
+/// Decodes ended claims; durations count from `read_at`. Skips malformed records.
 pub(crate) fn decode_batches(
     batches: &[RecordBatch],
     read_at: LocalTime,
@@ -134,8 +134,8 @@
 fn decode_record(record: &[u8], expires_at: LocalTime) -> Option<(ClaimKey, SettledRecord)> {
     let text = str::from_utf8(record).ok()?;
     let mut bytes = [0; CLAIM_KEY_LENGTH];
-    for (place, byte) in bytes.iter_mut().enumerate() {
-        *byte = u8::from_str_radix(text.get(2 * place..2 * place + 2)?, 16).ok()?;
+    for (index, byte) in bytes.iter_mut().enumerate() {
+        *byte = u8::from_str_radix(text.get(2 * index..2 * index + 2)?, 16).ok()?;
     }
     let fingerprint = text.get(KEY_DIGITS..KEY_DIGITS + FINGERPRINT_DIGITS)?;
     let (answered, dated) = match text.get(RECORD_WIDTH - 1..)? {
--- a/crates/clementinepond_decide/src/claim/owner/commit.rs
+++ b/crates/clementinepond_decide/src/claim/owner/commit.rs
@@ -1,4 +1,4 @@
-//! Group commits of a shard to its platform object.
+//! Group commit of a shard's changes to its platform object.
 
 use super::granting::mark_durable;
 use super::shard::{
@@ -14,7 +14,7 @@
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Writes the new term with everything that was collected.
+/// Starts ownership with a write of the new term and the collected records.
 pub(crate) fn activate(
     tenure: ShardTenure<Collecting>,
     context: &mut OwnerContext<'_>,
@@ -26,7 +26,7 @@
     ShardEntry::Holding(Box::new(tenure))
 }
 
-/// Writes the object if that is due.
+/// Writes the object if that is due, or reads it after a write with unknown outcome.
 pub(crate) fn flush(tenure: &mut ShardTenure<Holding>, context: &mut OwnerContext<'_>) {
     let shard = tenure.shard;
     let stage = &mut tenure.stage;
@@ -50,16 +50,16 @@
 
 fn is_due(stage: &Holding, context: &OwnerContext<'_>) -> bool {
     let Some(dirty_since) = stage.dirty_since else {
-        return stage.closing || !stage.activated || wants_replicas(stage, context);
+        return stage.closing || !stage.activated || needs_replica_change(stage, context);
     };
     stage.closing
         || !stage.activated
-        || wants_replicas(stage, context)
+        || needs_replica_change(stage, context)
         || context.now >= dirty_since + context.settings.commit_interval
         || is_urgent(stage, context)
 }
 
-/// Returns whether claims wait that replicas do not make durable in time.
+/// Returns whether a change is still not durable after the wait for replicas.
 fn is_urgent(stage: &Holding, context: &OwnerContext<'_>) -> bool {
     let copy_wait = if stage.witnesses_confirmed {
         context.settings.copy_timeout
@@ -73,18 +73,18 @@
         .any(|record| context.now >= record.changed_at + copy_wait)
 }
 
-/// Returns whether the replicas should be other ones.
-fn wants_replicas(stage: &Holding, context: &OwnerContext<'_>) -> bool {
-    let wanted = wanted_replicas(stage, context);
-    let same = wanted.len() == stage.replicas.len()
-        && wanted
+/// Returns whether a write must name other replicas or confirm the current ones.
+fn needs_replica_change(stage: &Holding, context: &OwnerContext<'_>) -> bool {
+    let target = target_replicas(stage, context);
+    let same = target.len() == stage.replicas.len()
+        && target
             .iter()
             .zip(&stage.replicas)
             .all(|(a, b)| a.vm == b.vm && a.incarnation == b.incarnation);
-    !same || (!wanted.is_empty() && !stage.witnesses_confirmed)
+    !same || (!target.is_empty() && !stage.witnesses_confirmed)
 }
 
-fn wanted_replicas(stage: &Holding, context: &OwnerContext<'_>) -> Vec<ReplicaSlot> {
+fn target_replicas(stage: &Holding, context: &OwnerContext<'_>) -> Vec<ReplicaSlot> {
     if stage.closing {
         return Vec::new();
     }
@@ -95,16 +95,16 @@
     let shard = tenure.shard;
     let number = context.next_write();
     let stage = &mut tenure.stage;
-    let replicas = if wants_replicas(stage, context) {
-        wanted_replicas(stage, context)
+    let replicas = if needs_replica_change(stage, context) {
+        target_replicas(stage, context)
     } else {
         stage.replicas.clone()
     };
-    if wants_replicas(stage, context)
+    if needs_replica_change(stage, context)
         && context.settings.mutation != ClaimMutation::CopyBeforeWitness
     {
-        // Until this write is known to be stored, the object may name either
-        // set of witnesses, so that no acknowledgement counts.
+        // Until the outcome of this write is known, the stored object may name
+        // either set of witnesses, so acknowledgements do not count.
         stage.witnesses_confirmed = false;
     }
     if context.settings.mutation == ClaimMutation::CopyBeforeWitness {
@@ -167,7 +167,7 @@
 
 fn witnesses(replicas: &[ReplicaSlot], context: &OwnerContext<'_>) -> Vec<ShardWitness> {
     if replicas.is_empty() {
-        // Without replicas nothing is granted before it is in the object.
+        // Without replicas a claim is granted only once it is in the stored object.
         return Vec::new();
     }
     let own = ShardWitness {
@@ -191,19 +191,20 @@
     }
 }
 
-/// Takes the answer to a write.
+/// Processes the answer to a write; returns the tenure as an error if the ownership was
+/// lost.
 pub(crate) fn commit_stored(
     mut tenure: ShardTenure<Holding>,
     write: u64,
     reply: StoreReply<ShardObject>,
     context: &mut OwnerContext<'_>,
 ) -> Result<ShardEntry, Box<ShardTenure<Holding>>> {
-    let ours = tenure
+    let is_outstanding = tenure
         .stage
         .commit
         .as_ref()
         .is_some_and(|commit| commit.write == write);
-    if !ours {
+    if !is_outstanding {
         return Ok(ShardEntry::Holding(Box::new(tenure)));
     }
     match reply {
@@ -224,7 +225,7 @@
     Ok(ShardEntry::Holding(Box::new(tenure)))
 }
 
-/// Finds out whether an unanswered write took effect.
+/// Processes a read that determines whether a write with unknown outcome was stored.
 pub(crate) fn commit_read(
     mut tenure: ShardTenure<Holding>,
     reply: ReadReply<ShardObject>,
@@ -245,7 +246,7 @@
     Ok(ShardEntry::Holding(Box::new(tenure)))
 }
 
-/// Compares the stored object with the write on its way.
+/// Compares the stored object with the outstanding write.
 fn resolve(
     mut tenure: ShardTenure<Holding>,
     found: VersionedObject<ShardObject>,
@@ -257,11 +258,12 @@
     if own && write == Some(found.value.write) {
         stored(&mut tenure, found.version, context);
     } else if own || stage.version == Some(found.version) {
-        // Not stored yet, or an earlier write of this VM came late.
+        // This write is not stored: the object is unchanged, or an earlier write of
+        // this process was stored late.
         stage.version = Some(found.version);
         retry(stage, context.now);
     } else if stage.version > Some(found.version) {
-        // A read that was answered late.
+        // The read is outdated; read again.
         if let Some(commit) = &mut stage.commit {
             commit.reread_at = Some(context.now + context.settings.commit_gap);
         }
@@ -271,11 +273,13 @@
     Ok(ShardEntry::Holding(Box::new(tenure)))
 }
 
+/// Discards the outstanding write, so that its changes are written again.
 fn retry(stage: &mut Holding, now: LocalTime) {
     stage.commit = None;
     stage.dirty_since.get_or_insert(now);
 }
 
+/// Applies a stored write: its changes are durable and its replicas count.
 fn stored(
     tenure: &mut ShardTenure<Holding>,
     version: ObjectVersion,
@@ -304,6 +308,8 @@
     super::copying::resend_copies(tenure, context);
 }
 
+/// Sets the replicas of a stored write. Members that stay keep their time without an
+/// acknowledgement; a changed set invalidates the acknowledgements of copies.
 fn replace_replicas(stage: &mut Holding, replicas: Vec<ReplicaSlot>) {
     let known: BTreeMap<_, _> = stage
         .replicas
@@ -326,7 +332,7 @@
     }
 }
 
-/// Keeps ended and stored claims as compact records.
+/// Moves ended claims without an answer to their compact form once they are stored.
 fn settle_flushed(stage: &mut Holding, context: &OwnerContext<'_>) {
     let ended: Vec<ClaimKey> = stage
         .active
@@ -347,7 +353,7 @@
     }
 }
 
-/// Returns whether nothing of the shard is missing from the platform.
+/// Returns whether a closing shard is stored completely and without witnesses.
 pub(crate) fn release_done(stage: &Holding) -> bool {
     stage.closing
         && stage.activated
@@ -356,7 +362,7 @@
         && stage.flushed == stage.sequence
 }
 
-/// Starts again after another owner wrote the object.
+/// Starts the takeover again after the ownership was lost.
 pub(crate) fn restart_takeover(
     tenure: &ShardTenure<Holding>,
     context: &mut OwnerContext<'_>,
--- a/crates/clementinepond_decide/src/claim/owner/copying.rs
+++ b/crates/clementinepond_decide/src/claim/owner/copying.rs
@@ -1,4 +1,4 @@
-//! Copies of claims from an owner to its replicas.
+//! Replication of claims from an owner to its replicas.
 
 use super::granting::mark_durable;
 use super::shard::{Holding, OwnerContext, ShardTenure};
@@ -8,7 +8,7 @@
 use crate::claim::record::VmIncarnation;
 use clementinepond_types::VmId;
 
-/// Copies one changed claim to every replica.
+/// Sends one changed claim to every replica.
 pub(crate) fn copy_one(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
@@ -21,7 +21,9 @@
     send_copies(tenure, None, vec![copy], context);
 }
 
-/// Sends copies to one replica, or to all.
+/// Sends copies to all replicas, or only to one.
+///
+/// Sends nothing until the stored object is known to name the replicas as witnesses.
 pub(crate) fn send_copies(
     tenure: &mut ShardTenure<Holding>,
     only: Option<&VmId>,
@@ -53,7 +55,7 @@
     }
 }
 
-/// Repeats copies that are not acknowledged, and replaces silent replicas.
+/// Resends unacknowledged copies, drops unresponsive replicas and enlists others.
 pub(crate) fn resend_copies(tenure: &mut ShardTenure<Holding>, context: &mut OwnerContext<'_>) {
     if context.now < tenure.stage.next_resend {
         return;
@@ -86,13 +88,14 @@
         .collect()
 }
 
+/// Drops enlisted VMs that do not acknowledge or left the roster.
 fn drop_unresponsive(stage: &mut Holding, context: &OwnerContext<'_>) {
     let timeout = context.settings.replica_timeout;
     for slot in &stage.replicas {
-        let silent = slot
+        let is_unresponsive = slot
             .unacknowledged_since
             .is_some_and(|since| context.now >= since + timeout);
-        if silent {
+        if is_unresponsive {
             stage.enlisted.remove(&slot.vm);
         }
     }
@@ -101,7 +104,7 @@
         .retain(|vm, _| context.local_peers.contains(vm));
 }
 
-/// Asks further VMs while too few are enlisted.
+/// Requests further VMs to become replicas while too few are enlisted.
 fn enlist(tenure: &mut ShardTenure<Holding>, context: &mut OwnerContext<'_>) {
     let shard = tenure.shard;
     let stage = &tenure.stage;
@@ -119,7 +122,7 @@
     }
 }
 
-/// Takes a VM's agreement to be a replica.
+/// Records that a VM accepted to be a replica.
 pub(crate) fn replica_enlisted(
     stage: &mut Holding,
     from: VmId,
@@ -131,7 +134,7 @@
     }
 }
 
-/// Takes a replica's acknowledgement.
+/// Processes a replica's acknowledgement of copies.
 pub(crate) fn copies_acknowledged(
     tenure: &mut ShardTenure<Holding>,
     from: &VmId,
@@ -152,7 +155,7 @@
         return;
     }
     slot.unacknowledged_since = None;
-    let mut complete = Vec::new();
+    let mut durable = Vec::new();
     for (key, sequence) in copied {
         let Some(record) = stage.active.get_mut(key) else {
             continue;
@@ -163,10 +166,10 @@
         record.copied_to.insert(from.clone());
         let copied = &record.copied_to;
         if stage.replicas.iter().all(|slot| copied.contains(&slot.vm)) {
-            complete.push(*key);
+            durable.push(*key);
         }
     }
-    for key in complete {
+    for key in durable {
         mark_durable(tenure, key, context);
     }
 }
--- a/crates/clementinepond_decide/src/claim/owner/expiry.rs
+++ b/crates/clementinepond_decide/src/claim/owner/expiry.rs
@@ -1,4 +1,4 @@
-//! Runs that nobody will report, and records beyond retention.
+//! Expiry of unreported runs and of records past their retention.
 
 use super::granting::{free, set_outcome};
 use super::shard::{ActiveRecord, ActiveState, Holding, OwnerContext, SettledRecord, ShardTenure};
@@ -7,10 +7,11 @@
 use crate::claim::settings::ClaimMutation;
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 
-/// Time between two searches for records that are due.
+/// Time between two sweeps for expired runs and records.
 const SWEEP_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// Ends runs without report and forgets records beyond retention.
+/// Ends unreported runs and removes records past their retention and an expired
+/// quarantine.
 pub(crate) fn sweep(tenure: &mut ShardTenure<Holding>, context: &mut OwnerContext<'_>) {
     let now = context.now;
     if now < tenure.stage.next_sweep {
@@ -25,17 +26,17 @@
     let is_kept = |record: &SettledRecord| record.expires_at > now;
     stage.settled.retain(|_, record| is_kept(record));
     let settings = context.settings;
-    let is_over = |record: &ActiveRecord| {
+    let is_past_retention = |record: &ActiveRecord| {
         !matches!(record.state, ActiveState::Running { .. })
             && record.durable
             && record.changed_at + settings.retention_of(record.dated) <= now
     };
-    let over: Vec<ActiveRecord> = stage
+    let removed: Vec<ActiveRecord> = stage
         .active
-        .extract_if(.., |_, record| is_over(record))
+        .extract_if(.., |_, record| is_past_retention(record))
         .map(|(_, record)| record)
         .collect();
-    for record in &over {
+    for record in &removed {
         stage.drop_answer(record);
     }
     if stage
@@ -72,7 +73,7 @@
     }
 }
 
-/// Ends a run whose outcome will not be reported.
+/// Marks a run as unknown because its outcome is not expected to be reported.
 fn end_unreported(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
--- a/crates/clementinepond_decide/src/claim/owner/granting.rs
+++ b/crates/clementinepond_decide/src/claim/owner/granting.rs
@@ -1,4 +1,4 @@
-//! Answers to calls and reports on runs.
+//! Answers to claim requests, and reports of runs.
 
 use super::copying::copy_one;
 use super::shard::{ActiveRecord, ActiveState, Holding, OwnerContext, ShardTenure};
@@ -12,8 +12,10 @@
 use clementinepond_types::{LocalTime, TimeSpan};
 use std::collections::BTreeSet;
 
-/// Calls that are told at once when a run ends; others ask again.
+/// Largest number of waiting calls per claim that are sent the outcome at once; others
+/// get it when they resend their request.
 const WAITER_LIMIT: usize = 16;
+
 fn reply(to: &RunHolder, reply: OwnerReply, context: &mut OwnerContext<'_>) {
     context.effects.push(ClaimEffect::Send {
         to: to.vm.clone(),
@@ -25,7 +27,8 @@
     });
 }
 
-/// Answers a call.
+/// Processes a claim request. A closing shard does not answer, so that the request is
+/// resent to the next owner.
 pub(crate) fn request(
     tenure: &mut ShardTenure<Holding>,
     holder: RunHolder,
@@ -61,7 +64,8 @@
     }
 }
 
-/// Looks the key up; the outer `None` means that it is free.
+/// Returns the answer from the key's record. The outer `None` means that the key is
+/// free, the inner one that the answer follows when the claim is durable.
 fn known_reply(
     stage: &mut Holding,
     holder: &RunHolder,
@@ -104,7 +108,7 @@
     }
 }
 
-/// Returns the reason for which no new claim may be made, if there is one.
+/// Returns the reason why a new claim must be refused, if there is one.
 fn admission_refusal(
     stage: &mut Holding,
     date: KeyDate,
@@ -131,6 +135,7 @@
     Some(ClaimRefusal::Full)
 }
 
+/// Returns whether a key may be older than the quarantine that is in effect.
 fn is_quarantined(stage: &Holding, date: KeyDate, context: &OwnerContext<'_>) -> bool {
     let Some(quarantine) = stage.quarantine else {
         return false;
@@ -138,7 +143,8 @@
     if context.now >= quarantine.until {
         return false;
     }
-    // Two clocks take part: the one that dated the key and the one that read it.
+    // Two clocks contribute an offset: the one that dated the key and the one that
+    // determined its age.
     let margin = context.settings.clock_margin + context.settings.clock_margin;
     match date {
         KeyDate::Past(age) => age + margin >= context.now.since(quarantine.since),
@@ -181,7 +187,7 @@
     }
 }
 
-/// Grants a claim, or confirms a report, that can no longer be lost.
+/// Marks a change as durable, and grants the claim or acknowledges the report.
 pub(crate) fn mark_durable(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
@@ -213,7 +219,8 @@
     });
 }
 
-/// Takes the report of a granted call.
+/// Processes a report. A closing shard ignores reports of runs, which are resent to the
+/// next owner.
 pub(crate) fn report(
     tenure: &mut ShardTenure<Holding>,
     holder: &RunHolder,
@@ -233,30 +240,32 @@
     }
 }
 
-/// Frees a claim whose holder ran nothing.
+/// Frees a claim whose holder did not run, and acknowledges the report.
 fn release(
     tenure: &mut ShardTenure<Holding>,
     reporter: &RunHolder,
     key: ClaimKey,
     context: &mut OwnerContext<'_>,
 ) {
-    let any = context.settings.mutation == ClaimMutation::ReleaseAnyHolder;
+    let any_holder = context.settings.mutation == ClaimMutation::ReleaseAnyHolder;
     let stage = &mut tenure.stage;
-    let held = stage.active.get(&key).is_some_and(|record| {
-        matches!(&record.state, ActiveState::Running { holder, .. } if holder == reporter || any)
+    let is_held = stage.active.get(&key).is_some_and(|record| {
+        matches!(&record.state, ActiveState::Running { holder, .. } if holder == reporter || any_holder)
     });
-    if held {
+    if is_held {
         free(stage, key, context.now);
     }
     acknowledge(reporter, context);
 }
 
+/// Removes a claim, so that its key may be claimed again.
 pub(super) fn free(stage: &mut Holding, key: ClaimKey, now: LocalTime) {
     stage.next_sequence(now);
     stage.active.remove(&key);
     stage.pending.remove(&key);
 }
 
+/// Records the outcome of a run, unless a record that is as final exists.
 fn record_outcome(
     tenure: &mut ShardTenure<Holding>,
     holder: &RunHolder,
@@ -291,7 +300,7 @@
     );
 }
 
-/// Returns whether the stored outcome is at least as certain as a new one.
+/// Returns whether the known outcome of a key is at least as final as a new one.
 fn is_final(stage: &Holding, key: ClaimKey, new: &ActiveState) -> bool {
     let known = match stage.active.get(&key).map(|record| &record.state) {
         Some(ActiveState::Answered(_)) => return true,
@@ -306,7 +315,7 @@
     }
 }
 
-/// Sets the outcome of a claim, copies it and tells who waits for it.
+/// Sets the outcome of a claim, copies it to replicas and answers the waiting calls.
 pub(super) fn set_outcome(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
@@ -348,7 +357,7 @@
     copy_one(tenure, key, context);
 }
 
-/// Drops the oldest answers beyond the budget.
+/// Drops the oldest answers until the rest fits the budget.
 fn drop_answers(stage: &mut Holding, context: &OwnerContext<'_>) {
     while stage.answer_bytes > context.settings.answer_budget {
         let Some((sequence, key)) = stage.answers.pop_first() else {
--- a/crates/clementinepond_decide/src/claim/owner/mod.rs
+++ b/crates/clementinepond_decide/src/claim/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of a shard: takes it over, grants its claims and stores them.
+//! Owner of a shard: takes it over, grants its claims and stores them.
 
 mod commit;
 mod copying;
--- a/crates/clementinepond_decide/src/claim/owner/takeover.rs
+++ b/crates/clementinepond_decide/src/claim/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes a shard over from its former owner.
+//! Takeover of a shard from its former owner.
 
 use super::shard::{
     ActiveRecord, ActiveState, Collecting, Holding, OwnerContext, Quarantine, Reading, ReplicaSlot,
@@ -14,10 +14,10 @@
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Copy timeouts that a new owner waits for replicas to enlist.
+/// Longest time that a new owner waits for replicas to enlist, in copy timeouts.
 const ENLIST_WAIT_IN_COPY_TIMEOUTS: u64 = 5;
 
-/// Begins with a read of the object.
+/// Starts a takeover with a read of the object.
 pub(crate) fn start_read(shard: ShardNumber, context: &mut OwnerContext<'_>) -> ShardEntry {
     context.effects.push(ClaimEffect::Read { shard });
     let stage = Reading {
@@ -27,6 +27,7 @@
     ShardEntry::Reading(ShardTenure { shard, stage })
 }
 
+/// Schedules another read of the object after `commit_gap`.
 fn retry_read_later(shard: ShardNumber, context: &OwnerContext<'_>) -> ShardEntry {
     let stage = Reading {
         read_at: context.now,
@@ -35,7 +36,7 @@
     ShardEntry::Reading(ShardTenure { shard, stage })
 }
 
-/// Asks the witnesses of the former term once the object is known.
+/// Processes the read of the object and starts to collect from its witnesses.
 pub(crate) fn read_replied(
     tenure: ShardTenure<Reading>,
     reply: ReadReply<ShardObject>,
@@ -49,12 +50,12 @@
         ReadReply::Missing => None,
         ReadReply::Unavailable => return retry_read_later(tenure.shard, context),
     };
-    // Epochs of two data centres cannot be compared.
+    // Epochs of different data centres cannot be compared.
     let newer = found.as_ref().is_some_and(|found| {
         !context.remote_peers.contains(&found.value.holder) && found.value.epoch > context.epoch
     });
     if newer {
-        // A later roster gave the shard to another VM; wait for that roster.
+        // A newer roster assigned the shard to another VM; wait for that roster.
         return retry_read_later(tenure.shard, context);
     }
     let stage = collecting(found, tenure.stage.read_at, context);
@@ -87,7 +88,7 @@
     }
 }
 
-/// Repeats what is unanswered.
+/// Reads again or resends messages, if that is due.
 pub(crate) fn takeover_tick(entry: ShardEntry, context: &mut OwnerContext<'_>) -> ShardEntry {
     match entry {
         ShardEntry::Reading(tenure) if context.now >= tenure.stage.retry_at => {
@@ -98,6 +99,7 @@
     }
 }
 
+/// Activates the shard once its records are collected, or sends the due messages.
 fn takeover_step(
     mut tenure: ShardTenure<Collecting>,
     context: &mut OwnerContext<'_>,
@@ -112,15 +114,16 @@
     ShardEntry::Collecting(Box::new(tenure))
 }
 
-/// Counts processes as gone that this VM replaced or that left the roster.
+/// Marks witnesses as lost whose VM left all known rosters, or which are earlier
+/// processes of this VM.
 fn mark_lost_witnesses(stage: &mut Collecting, context: &OwnerContext<'_>) {
     for (witness, progress) in &mut stage.witnesses {
         let replaced = witness.vm == *context.vm && witness.incarnation != context.incarnation;
-        // A shard may have come from another data centre.
-        let left = witness.vm != *context.vm
+        // The former owner and its replicas may belong to another data centre.
+        let removed = witness.vm != *context.vm
             && !context.local_peers.contains(&witness.vm)
             && !context.remote_peers.contains(&witness.vm);
-        if (replaced || left) && *progress != WitnessProgress::Complete {
+        if (replaced || removed) && *progress != WitnessProgress::Complete {
             *progress = WitnessProgress::Lost;
         }
     }
@@ -177,7 +180,7 @@
     }
 }
 
-/// Takes records of a witness.
+/// Processes one batch of a witness's records.
 pub(crate) fn collected(
     mut tenure: ShardTenure<Collecting>,
     from: VmId,
@@ -214,6 +217,7 @@
     takeover_step(tenure, context)
 }
 
+/// Ranks states by how final they are; a copy of higher rank replaces others.
 fn finality(state: &CopyState) -> u8 {
     match state {
         CopyState::Released => 0,
@@ -231,10 +235,10 @@
     }
 }
 
-/// Builds the owned shard from the object and the witnesses' records.
+/// Builds the owned shard from the former object and the witnesses' records.
 pub(crate) fn assemble(stage: Collecting, context: &OwnerContext<'_>) -> Holding {
     let now = context.now;
-    let lost = !stage.witnesses.is_empty()
+    let all_lost = !stage.witnesses.is_empty()
         && stage
             .witnesses
             .values()
@@ -256,7 +260,7 @@
         dirty_since: Some(now),
         last_write_at: LocalTime::ORIGIN,
         commit: None,
-        quarantine: quarantine(stage.former.as_ref(), stage.read_at, lost, context),
+        quarantine: quarantine(stage.former.as_ref(), stage.read_at, all_lost, context),
         next_sweep: now,
         next_resend: now,
         closing: false,
@@ -278,6 +282,7 @@
     holding
 }
 
+/// Returns whether a copy is more final than the settled record of its key, if any.
 fn is_more_final(holding: &Holding, copy: &CopyRecord) -> bool {
     match holding.settled.get(&copy.key) {
         Some(settled) if settled.answered => matches!(copy.state, CopyState::Answered(Some(_))),
@@ -286,9 +291,10 @@
     }
 }
 
-/// Makes a claim unknown when the object and the copy name different holders.
+/// Marks a claim as unknown if the object and the copy name different holders.
 ///
-/// Either may be the later one, and a release by the earlier must not free it.
+/// Either holder may be the later one, and a `NotRun` report of the earlier must not
+/// free the claim of the later.
 fn resolve_holder_conflict(holding: &Holding, mut copy: CopyRecord) -> CopyRecord {
     let stored = holding.active.get(&copy.key).map(|record| &record.state);
     if let Some(ActiveState::Running { holder: stored, .. }) = stored
@@ -300,7 +306,7 @@
     copy
 }
 
-fn running_copy(record: RunningRecord, passed: TimeSpan) -> CopyRecord {
+fn running_copy(record: RunningRecord, elapsed: TimeSpan) -> CopyRecord {
     CopyRecord {
         key: record.key,
         fingerprint: record.fingerprint,
@@ -308,27 +314,29 @@
         sequence: 0,
         state: CopyState::Running {
             holder: record.holder,
-            time_left: record.time_left.saturating_sub(passed),
+            time_left: record.time_left.saturating_sub(elapsed),
         },
     }
 }
 
+/// Returns a new quarantine if all witnesses are lost, or the rest of the former one.
 fn quarantine(
     former: Option<&ShardObject>,
     read_at: LocalTime,
-    lost: bool,
+    all_lost: bool,
     context: &OwnerContext<'_>,
 ) -> Option<Quarantine> {
     let since = context.now;
-    if lost {
+    if all_lost {
         let until = since + context.settings.retention_of(false);
         return Some(Quarantine { since, until });
     }
-    let left = former.map_or(TimeSpan::ZERO, |former| former.quarantine_left);
-    let until = read_at + left;
-    (left > TimeSpan::ZERO).then_some(Quarantine { since, until })
+    let remaining = former.map_or(TimeSpan::ZERO, |former| former.quarantine_left);
+    let until = read_at + remaining;
+    (remaining > TimeSpan::ZERO).then_some(Quarantine { since, until })
 }
 
+/// Adds a claim of the former term as a change that is not durable yet.
 fn adopt(holding: &mut Holding, copy: CopyRecord, context: &OwnerContext<'_>) {
     let state = match copy.state {
         CopyState::Released => return,
@@ -357,7 +365,7 @@
     holding.pending.insert(copy.key);
 }
 
-/// Chooses replicas among the VMs that enlisted.
+/// Returns the best-ranked enlisted VMs, up to `replica_count`.
 pub(crate) fn choose_replicas(
     enlisted: &BTreeMap<VmId, VmIncarnation>,
     context: &OwnerContext<'_>,
--- a/crates/clementinepond_decide/src/claim/placement.rs
+++ b/crates/clementinepond_decide/src/claim/placement.rs
@@ -12,7 +12,7 @@
     u64::from_le_bytes([a, b, c, d, e, f, g, h])
 }
 
-/// Returns the data centre that owns a shard.
+/// Returns the data centre whose VMs own a shard; `None` if the list is empty.
 #[must_use]
 pub fn shard_data_centre(
     shard: ShardNumber,
@@ -23,7 +23,8 @@
         .max_by_key(|name| (weight(shard, name.as_str()), *name))
 }
 
-/// Orders the VMs of a data centre for a shard: the owner, then its replicas.
+/// Ranks the VMs of a data centre for a shard: the owner first, then its replicas
+/// in order of preference.
 #[must_use]
 pub fn rank_members(shard: ShardNumber, members: &[VmId]) -> Vec<VmId> {
     let mut ranked: Vec<VmId> = members.to_vec();
--- a/crates/clementinepond_decide/src/claim/record.rs
+++ b/crates/clementinepond_decide/src/claim/record.rs
@@ -1,13 +1,13 @@
-//! Who runs a claim, and the answer that is kept for repeats.
+//! Identity of the call that holds a claim, and the answer kept for retries.
 
 use clementinepond_types::VmId;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Bytes that an answer takes besides its headers and body.
+/// Size in bytes that an answer counts in addition to its headers and body.
 const ANSWER_OVERHEAD: usize = 64;
 
-/// Number that the edge gives to one call, unique within one process.
+/// Number that the I/O layer assigns to a call, unique within one process.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,14 +21,14 @@
         Self(number)
     }
 
-    /// Returns the plain number.
+    /// Returns the ticket number.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 }
 
-/// Number drawn at random when a process starts.
+/// Number drawn at random at process start, which identifies the process of a VM.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -43,30 +43,30 @@
     }
 }
 
-/// The one call that may run a claim.
+/// Identity of a call that requests or holds a claim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RunHolder {
     /// VM that received the call.
     pub vm: VmId,
-    /// Process on that VM.
+    /// Incarnation of the process on that VM.
     pub incarnation: VmIncarnation,
-    /// Call within that process.
+    /// Ticket of the call within that process.
     pub ticket: ClaimTicket,
 }
 
-/// Complete answer that is kept for repeats of a call.
+/// Complete answer of an endpoint, kept for retries of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Header names and values.
+    /// Pairs of header name and value.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// Body.
+    /// Complete response body.
     pub body: Box<[u8]>,
 }
 
 impl RecordedAnswer {
-    /// Returns the size that counts against the limits, in bytes.
+    /// Returns the size that counts against `answer_limit` and `answer_budget`, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         let headers: usize = self
--- a/crates/clementinepond_decide/src/claim/reduce.rs
+++ b/crates/clementinepond_decide/src/claim/reduce.rs
@@ -1,4 +1,4 @@
-//! From an event to effects.
+//! Reducer of the claim part: applies an event to the state and returns effects.
 
 use super::assignment::{assign, finish_release, release, roster_changed};
 use super::effect::ClaimEffect;
@@ -16,13 +16,13 @@
 use clementinepond_types::{LocalTime, VmId};
 use std::collections::VecDeque;
 
-/// Applies one event.
+/// Applies one event and returns the effects that the I/O layer must execute.
 pub fn reduce(state: &mut ClaimState, event: ClaimEvent, now: LocalTime) -> Vec<ClaimEffect> {
     let mut queue: VecDeque<ClaimEffect> = apply(state, event, now).into();
     let mut effects = Vec::new();
     while let Some(effect) = queue.pop_front() {
         match effect {
-            // A VM that asks itself needs no network.
+            // Messages of this VM to itself are handled here, without the network.
             ClaimEffect::Send { to, message } if to == state.vm => {
                 queue.extend(received(state, to, message, now));
             }
@@ -46,7 +46,7 @@
             let key = ClaimKey::new(&account, &route, &key);
             requester::request(state, ticket, key, fingerprint, date, deadline, now)
         }
-        // The grant alone counts: after it the run may have happened.
+        // From the grant on, the request counts as possibly run.
         ClaimEvent::Dispatched { .. } => Vec::new(),
         ClaimEvent::Ended { ticket, outcome } => requester::ended(state, ticket, outcome, now),
         ClaimEvent::NotDispatched { ticket } => requester::not_dispatched(state, ticket, now),
@@ -84,14 +84,14 @@
     let incarnation = state.incarnation;
     match message {
         ClaimMessage::Answer {
-            incarnation: asked,
+            incarnation: addressee,
             ticket,
             reply,
-        } if asked == incarnation => requester::answered(state, ticket, reply, now),
+        } if addressee == incarnation => requester::answered(state, ticket, reply, now),
         ClaimMessage::ReportAcknowledged {
-            incarnation: asked,
+            incarnation: addressee,
             ticket,
-        } if asked == incarnation => requester::acknowledged(state, ticket),
+        } if addressee == incarnation => requester::acknowledged(state, ticket),
         ClaimMessage::Answer { .. } | ClaimMessage::ReportAcknowledged { .. } => Vec::new(),
         ClaimMessage::Request { key, .. } | ClaimMessage::Report { key, .. } => {
             let shard = key.shard(state.settings.shard_count);
@@ -101,23 +101,24 @@
         ClaimMessage::Copy {
             shard,
             term,
-            incarnation: meant,
+            incarnation: addressee,
             flushed,
             records,
-        } if meant == incarnation => {
+        } if addressee == incarnation => {
             step_down(state, shard, term, now);
             replica::copy(state, from, shard, term, flushed, records, now)
         }
-        // The owner means an earlier process; this one offers itself.
+        // The copies were meant for an earlier process of this VM; this process
+        // enlists as a replica instead.
         ClaimMessage::Copy { shard, term, .. } => replica::enlist(state, from, shard, term),
         ClaimMessage::Collect {
             shard,
             term,
             former,
-            incarnation: meant,
+            incarnation: addressee,
             after,
         } => {
-            let copies = if meant == incarnation {
+            let copies = if addressee == incarnation {
                 step_down(state, shard, term, now);
                 replica::collect(state, shard, term, former, after, now)
             } else {
@@ -126,7 +127,7 @@
             let message = ClaimMessage::Collected {
                 shard,
                 term,
-                incarnation: meant,
+                incarnation: addressee,
                 after,
                 copies,
             };
--- a/crates/clementinepond_decide/src/claim/replica.rs
+++ b/crates/clementinepond_decide/src/claim/replica.rs
@@ -1,4 +1,4 @@
-//! Copies of claims that this VM holds for owners in its data centre.
+//! Copies of claims that this VM holds as a replica of other owners.
 
 use super::effect::ClaimEffect;
 use super::key::{ClaimKey, ShardNumber};
@@ -9,7 +9,7 @@
 use clementinepond_types::{LocalTime, VmId};
 use std::collections::BTreeMap;
 
-/// One copied claim and the moment that its state refers to.
+/// Copied claim with the time at which it was received.
 #[derive(Debug, Clone)]
 pub(crate) struct HeldCopy {
     pub(crate) record: CopyRecord,
@@ -17,7 +17,7 @@
 }
 
 impl HeldCopy {
-    /// Returns the record with the time left as of now.
+    /// Returns the record with its remaining time reduced by the time since receipt.
     pub(crate) fn at(&self, now: LocalTime) -> CopyRecord {
         let mut record = self.record.clone();
         if let CopyState::Running { time_left, .. } = &mut record.state {
@@ -27,12 +27,12 @@
     }
 }
 
-/// Copies of one shard.
+/// Copies of one shard's claims.
 #[derive(Debug, Clone)]
 pub(crate) struct ReplicaShard {
-    /// Term of the owner that wrote the copies.
+    /// Term of the owner that sent the copies; zero if there are none.
     pub(crate) term: u64,
-    /// Smallest term that is still acknowledged.
+    /// Smallest term whose copies are still acknowledged.
     pub(crate) promised: u64,
     pub(crate) records: BTreeMap<ClaimKey, HeldCopy>,
 }
@@ -61,7 +61,7 @@
         self.records.insert(held.record.key, held);
     }
 
-    /// Drops what the platform holds, except answers, which it does not.
+    /// Drops records that the platform holds, except answers, which it does not store.
     fn drop_flushed(&mut self, flushed: u64) {
         self.records.retain(|_, held| {
             held.record.sequence > flushed
@@ -69,7 +69,8 @@
         });
     }
 
-    /// Drops the oldest answers beyond a budget in bytes.
+    /// Drops the oldest answers until the rest fits a budget in bytes; keeps all whose
+    /// records the platform does not hold yet.
     fn trim_answers(&mut self, flushed: u64, budget: usize) {
         let mut answers: Vec<(u64, ClaimKey, usize)> = self
             .records
@@ -93,6 +94,7 @@
     }
 }
 
+/// Returns the newest term of the shard that this VM knows as owner or replica.
 fn known_term(state: &ClaimState, shard: ShardNumber) -> u64 {
     let owned = state.shards.get(&shard).map_or(0, ShardEntry::term);
     let promised = state
@@ -102,7 +104,7 @@
     owned.max(promised)
 }
 
-/// Agrees to hold copies for the owner of a term.
+/// Accepts to be a replica for the owner of a term, unless a newer term is known.
 pub(crate) fn enlist(
     state: &ClaimState,
     from: VmId,
@@ -122,7 +124,7 @@
     }]
 }
 
-/// Stores copies and confirms them.
+/// Stores copies and acknowledges them, or refuses them if a newer term is known.
 pub(crate) fn copy(
     state: &mut ClaimState,
     from: VmId,
@@ -148,7 +150,8 @@
         .entry(shard)
         .or_insert_with(|| ReplicaShard::new(term));
     if term > replica.term {
-        // An owner copies only after its own object took in every older copy.
+        // An owner sends copies only after its stored object contains all copies of
+        // earlier terms.
         *replica = ReplicaShard::new(term);
     }
     for record in records {
@@ -167,7 +170,7 @@
     }]
 }
 
-/// Hands copies over to a new owner and promises to acknowledge no older one.
+/// Returns copies to a new owner and promises to acknowledge no older term.
 pub(crate) fn collect(
     state: &mut ClaimState,
     shard: ShardNumber,
@@ -183,12 +186,12 @@
         records: BTreeMap::new(),
     });
     replica.promised = replica.promised.max(term);
-    // The object of the former term took in every copy of an older one.
-    let is_wanted = replica.term == former;
+    // The object of the former term contains all copies of earlier terms.
+    let is_former = replica.term == former;
     let mut rest = replica
         .records
         .values()
-        .filter(|held| is_wanted && after.is_none_or(|key| held.record.key > key));
+        .filter(|held| is_former && after.is_none_or(|key| held.record.key > key));
     let records: Vec<CopyRecord> = rest.by_ref().take(limit).map(|held| held.at(now)).collect();
     CollectedCopies::Records {
         records,
--- a/crates/clementinepond_decide/src/claim/requester.rs
+++ b/crates/clementinepond_decide/src/claim/requester.rs
@@ -1,4 +1,4 @@
-//! The VM that received a call: asks for its claim and reports its run.
+//! Requests the claims of calls that this VM received and reports their runs.
 
 use super::effect::{ClaimEffect, ClaimRefusal, UnknownReason};
 use super::event::RunOutcome;
@@ -10,7 +10,7 @@
 use super::ticket::{CallTicket, Closed, Granted, Reporting, Requesting, TicketEntry};
 use clementinepond_types::LocalTime;
 
-/// Starts a call.
+/// Registers a call and sends its claim request.
 pub(crate) fn request(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Sends what is due for a call and ends it when its time is over.
+/// Sends the message that is due for a call, or ends the call at its deadline.
 pub(crate) fn advance(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -132,6 +132,10 @@
     }
 }
 
+/// Ends a call that was not granted and notifies the I/O layer.
+///
+/// The outcome is unknown if another call under the key was running, and a refusal
+/// otherwise.
 fn fail(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -155,7 +159,7 @@
     effects
 }
 
-/// Ends a call that ran nothing; reports it from `report_at` on.
+/// Closes a call that did not run; reports `NotRun` from `report_at` on.
 fn close(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -180,7 +184,7 @@
     send_due(state, ticket, now)
 }
 
-/// Takes the owner's answer to a call.
+/// Processes the owner's answer to a claim request.
 pub(crate) fn answered(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -239,13 +243,13 @@
     end: ClaimEffect,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
-    // The owner holds nothing for this call; only a late grant needs a report.
+    // The owner holds no claim for this call; only a late grant needs a report.
     let mut effects = close(state, ticket, LocalTime::NEVER, now);
     effects.push(end);
     effects
 }
 
-/// Takes the end of a run.
+/// Processes the end of a run and starts its report.
 pub(crate) fn ended(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -271,7 +275,7 @@
     send_due(state, ticket, now)
 }
 
-/// Takes the edge's word that a granted call ran nowhere.
+/// Processes the I/O layer's notice that a granted call did not run.
 pub(crate) fn not_dispatched(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -283,7 +287,7 @@
     }
 }
 
-/// Ends a call whose caller went away before the grant.
+/// Ends a call whose caller disconnected before the grant.
 pub(crate) fn abandoned(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -292,7 +296,7 @@
     fail(state, ticket, ClaimRefusal::Abandoned, now)
 }
 
-/// Takes the owner's word that a report is durable.
+/// Stops resending a report that the owner acknowledged.
 pub(crate) fn acknowledged(state: &mut ClaimState, ticket: ClaimTicket) -> Vec<ClaimEffect> {
     match state.tickets.get_mut(&ticket) {
         Some(TicketEntry::Reporting(_)) => {
--- a/crates/clementinepond_decide/src/claim/settings.rs
+++ b/crates/clementinepond_decide/src/claim/settings.rs
@@ -1,79 +1,82 @@
-//! Settings of claims.
+//! Settings of the claim part.
 
 use clementinepond_types::{DataCentreId, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// Guard that a test switches off, to show that an invariant needs it.
+/// Guard that a mutation test disables to show that an invariant depends on it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ClaimMutation {
-    /// Every guard is on.
+    /// All guards are enabled.
     #[default]
     None,
-    /// Grants before the claim is durable.
+    /// Claims are granted before they are durable.
     GrantBeforeDurable,
-    /// Replicas acknowledge owners of any term.
+    /// Replicas acknowledge copies of owners of any term.
     AcknowledgeOldTerm,
     /// A new owner grants without the records of a witness.
     SkipCollect,
-    /// Copies count before the stored object names their holders.
+    /// Copies count as durable before the stored object names their holders.
     CopyBeforeWitness,
-    /// A run without report is granted again.
+    /// The claim of a run without a report becomes free.
     ForgetUnreportedRun,
-    /// A report that nothing ran releases whatever claim is running.
+    /// A `NotRun` report frees a running claim even if another call holds it.
     ReleaseAnyHolder,
-    /// A grant that comes after the call ended is passed on.
+    /// A grant that arrives after the call ended is passed to the I/O layer.
     GrantClosedTicket,
-    /// The oldest records make room for new claims.
+    /// A full shard drops its undated ended record that would expire first.
     ForgetWhenFull,
-    /// Dated keys are accepted at any age.
+    /// Dated keys are accepted with any creation time, past or future.
     AcceptOldKey,
-    /// A write without answer counts as stored.
+    /// A write with unknown outcome counts as stored.
     TrustUnknownStore,
 }
 
-/// Settings of claims.
+/// Times, counts and sizes of the claim part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimSettings {
-    /// Data centres that own shards; the same everywhere.
+    /// Data centres that own shards; must be the same on all VMs.
     pub data_centres: Vec<DataCentreId>,
-    /// Number of shards; the same everywhere, and fixed.
+    /// Number of shards; must be the same on all VMs and never change.
     pub shard_count: u32,
-    /// Replicas beside the owner, where the data centre has that many VMs.
+    /// Number of replicas besides the owner, as far as the data centre has enough VMs.
     pub replica_count: usize,
-    /// Longest time that a granted claim waits for its platform write.
+    /// Longest time from a change of a shard to the write of its object.
     pub commit_interval: TimeSpan,
-    /// Shortest time between two writes of one shard.
+    /// Shortest time between two writes of one shard; also the retry delay of failed
+    /// reads.
     pub commit_gap: TimeSpan,
-    /// Wait for replicas before a claim is written at once.
+    /// Time after which copies are sent again, and after which a change that is not
+    /// durable is written without waiting for `commit_interval`.
     pub copy_timeout: TimeSpan,
-    /// Silence after which a replica is replaced.
+    /// Time without an acknowledgement after which a replica is replaced.
     pub replica_timeout: TimeSpan,
-    /// Time between repeats of an unanswered message.
+    /// Time between resends of an unanswered request, report or takeover message.
     pub resend_interval: TimeSpan,
-    /// Longest wait for a shard's owner before a call is refused.
+    /// Longest wait for the owner's first answer before a call is refused.
     pub owner_wait: TimeSpan,
     /// Longest time from a call's arrival to its dispatch.
     pub ask_limit: TimeSpan,
-    /// Time after which a run without report is unknown.
+    /// Time after the dispatch deadline from which a run without a report is unknown.
     pub run_limit: TimeSpan,
-    /// Time for which a report is repeated.
+    /// Time for which an unacknowledged report is resent.
     pub report_limit: TimeSpan,
-    /// Time for which claims under undated keys are kept.
+    /// Retention of claims under undated keys; `ask_limit` is added.
     pub retention: TimeSpan,
-    /// Age at which dated keys are refused.
+    /// Age from which dated keys are refused.
     pub dated_retention: TimeSpan,
-    /// Largest difference of wall clocks, and of a key's date from them.
+    /// Largest accepted offset between wall clocks, and of a key's creation time into
+    /// the future.
     pub clock_margin: TimeSpan,
-    /// Largest shard object, in bytes.
+    /// Largest size of a shard object, in bytes; new claims beyond it are refused.
     pub object_limit: usize,
-    /// Largest answer that is kept for repeats, in bytes.
+    /// Largest size of an answer that is kept for retries, in bytes.
     pub answer_limit: usize,
-    /// Sum of the answers that one shard keeps, in bytes.
+    /// Largest total size of the answers that a shard keeps, in bytes.
     pub answer_budget: usize,
-    /// Largest number of records in one message.
+    /// Largest number of copied claims in one message.
     pub batch_limit: usize,
-    /// Guard that is off.
+    /// Guard that a test disables.
     #[serde(skip)]
     pub mutation: ClaimMutation,
 }
@@ -106,12 +109,13 @@
 }
 
 impl ClaimSettings {
-    /// Returns the time for which a record is kept after it was last changed.
+    /// Returns the time for which a record is kept after its last change.
     #[must_use]
     pub(crate) fn retention_of(&self, dated: bool) -> TimeSpan {
         if dated {
-            // A key may be dated ahead by the margin, judged by a clock that
-            // is behind by the margin, and asked for until the ask limit.
+            // The key's clock may be ahead by the margin, the clock that checks
+            // its age may be behind by the margin, and a request is resent until
+            // `ask_limit`.
             self.dated_retention + self.clock_margin + self.clock_margin + self.ask_limit
         } else {
             self.retention + self.ask_limit
--- a/crates/clementinepond_decide/src/claim/shard_step.rs
+++ b/crates/clementinepond_decide/src/claim/shard_step.rs
@@ -1,4 +1,4 @@
-//! One step on one shard, and what becomes of the claims of a lost shard.
+//! Steps on owned shards, and keeping the claims of a shard whose ownership was lost.
 
 use super::effect::ClaimEffect;
 use super::key::ShardNumber;
@@ -8,7 +8,11 @@
 use super::state::ClaimState;
 use clementinepond_types::{LocalTime, VmId};
 
-/// Runs one step on a shard and puts its next stage back.
+/// Runs one step on a shard and stores the resulting stage.
+///
+/// A step returns its tenure as an error when the VM lost the ownership. The claims
+/// are then kept as a replica's, and the takeover starts again if the roster still
+/// assigns the shard to this VM.
 pub(crate) fn with_shard(
     state: &mut ClaimState,
     shard: ShardNumber,
@@ -60,13 +64,15 @@
     if let ShardEntry::Holding(tenure) = &entry
         && tenure.stage.activated
     {
-        // The object holds what this VM kept for the former owner.
+        // The stored object contains the copies that this VM held for the former
+        // owner.
         state.replicas.remove(&shard);
     }
     state.shards.insert(shard, entry);
     effects
 }
 
+/// Returns the other VMs of the data centre, ranked for the shard.
 fn local_peers(state: &ClaimState, shard: ShardNumber) -> Vec<VmId> {
     let members = state
         .local_roster()
@@ -76,15 +82,16 @@
     ranked
 }
 
+/// Returns the known VMs of all other data centres.
 fn remote_peers(state: &ClaimState) -> Vec<VmId> {
     let rosters = state.rosters.iter();
-    let foreign = rosters.filter(|(data_centre, _)| **data_centre != state.data_centre);
-    foreign
+    let remote = rosters.filter(|(data_centre, _)| **data_centre != state.data_centre);
+    remote
         .flat_map(|(_, roster)| roster.members.iter().cloned())
         .collect()
 }
 
-/// Keeps the claims of a lost shard for its next owner.
+/// Keeps the claims of a lost shard as copies for its next owner.
 fn retain_as_replica(
     state: &mut ClaimState,
     tenure: ShardTenure<Holding>,
@@ -93,7 +100,7 @@
 ) {
     let stage = tenure.stage;
     if !stage.activated {
-        // Nothing was granted by copies in this term.
+        // No claim of this term was granted, as its object is not known to be stored.
         return;
     }
     let records = stage
@@ -115,7 +122,7 @@
     state.replicas.insert(tenure.shard, replica);
 }
 
-/// Stops granting in a shard that a newer owner takes over.
+/// Gives up the ownership of a shard that an owner of a newer term takes over.
 pub(crate) fn step_down(state: &mut ClaimState, shard: ShardNumber, term: u64, now: LocalTime) {
     let Some(ShardEntry::Holding(tenure)) = state.shards.get(&shard) else {
         return;
@@ -128,6 +135,7 @@
     }
 }
 
+/// Expires records, resends copies and writes the object, or continues the takeover.
 pub(crate) fn tick_step(
     entry: ShardEntry,
     context: &mut OwnerContext<'_>,
--- a/crates/clementinepond_decide/src/claim/state.rs
+++ b/crates/clementinepond_decide/src/claim/state.rs
@@ -1,4 +1,4 @@
-//! What one VM remembers about claims.
+//! State of the claim part of one VM.
 
 use super::key::ShardNumber;
 use super::owner::ShardEntry;
@@ -10,49 +10,53 @@
 use clementinepond_types::{DataCentreId, Epoch, VmId};
 use std::collections::BTreeMap;
 
-/// Members of one data centre's roster.
+/// Latest known roster of one data centre.
 #[derive(Debug, Clone)]
 pub(crate) struct RosterView {
     pub(crate) epoch: Epoch,
     pub(crate) members: Vec<VmId>,
 }
 
-/// Numbers for metrics and the operator's view.
+/// Counts of calls, shards and records on one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimCounts {
-    /// Calls that wait for an answer of an owner.
+    /// Number of calls that wait for the owner's answer.
     pub requesting: usize,
-    /// Calls that hold a grant.
+    /// Number of calls that hold a grant and have not ended.
     pub granted: usize,
-    /// Reports that are not confirmed.
+    /// Number of ended runs whose report is not acknowledged.
     pub reporting: usize,
-    /// Shards that this VM owns and answers for.
+    /// Number of shards that this VM serves as owner.
     pub held_shards: usize,
-    /// Shards that this VM is taking over.
+    /// Number of shards that this VM is taking over.
     pub takeover_shards: usize,
-    /// Claims in the held shards.
+    /// Number of claims in the held shards.
     pub records: usize,
-    /// Claims that are copied here for other owners.
+    /// Number of claims that this VM holds as a replica.
     pub copies: usize,
 }
 
-/// Claims of one VM.
+/// State of the claim part of one VM: its calls, owned shards and replicas.
 #[derive(Debug, Clone)]
 pub struct ClaimState {
     pub(crate) settings: ClaimSettings,
     pub(crate) vm: VmId,
     pub(crate) data_centre: DataCentreId,
     pub(crate) incarnation: VmIncarnation,
+    /// Number of the last write of a shard object by this process.
     pub(crate) writes: u64,
     pub(crate) rosters: BTreeMap<DataCentreId, RosterView>,
     pub(crate) tickets: BTreeMap<ClaimTicket, TicketEntry>,
+    /// Shards that this VM owns or takes over.
     pub(crate) shards: BTreeMap<ShardNumber, ShardEntry>,
+    /// Copies held for other owners.
     pub(crate) replicas: BTreeMap<ShardNumber, ReplicaShard>,
+    /// Whether this VM hands over its shards and takes no new ones.
     pub(crate) releasing: bool,
 }
 
 impl ClaimState {
-    /// Starts without any claim; `incarnation` is drawn at random.
+    /// Creates an empty state; `incarnation` must be drawn at random for each process.
     #[must_use]
     pub fn new(
         settings: ClaimSettings,
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Returns numbers for metrics.
+    /// Returns the counts of calls, shards and records.
     #[must_use]
     pub fn counts(&self) -> ClaimCounts {
         let mut counts = ClaimCounts {
@@ -109,6 +113,7 @@
         counts
     }
 
+    /// Returns the identity under which a call of this process requests its claim.
     pub(crate) fn holder(&self, ticket: ClaimTicket) -> RunHolder {
         RunHolder {
             vm: self.vm.clone(),
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Returns the owner of a shard, as far as this VM knows.
+    /// Returns the owner of a shard according to the latest known roster.
     pub(crate) fn owner(&self, shard: ShardNumber) -> Option<VmId> {
         let data_centre = shard_data_centre(shard, &self.settings.data_centres)?;
         let roster = self.rosters.get(data_centre)?;
@@ -129,7 +134,7 @@
         self.rosters.get(&self.data_centre)
     }
 
-    /// Returns the shards that this VM's roster gives to it.
+    /// Returns the shards that this VM owns by the latest roster; none while releasing.
     pub(crate) fn assigned_shards(&self) -> Vec<ShardNumber> {
         if self.releasing {
             return Vec::new();
--- a/crates/clementinepond_decide/src/claim/ticket.rs
+++ b/crates/clementinepond_decide/src/claim/ticket.rs
@@ -1,47 +1,54 @@
-//! The life cycle of one call at the VM that received it.
+//! Life cycle of a call at the VM that received it.
 
 use super::key::{BodyFingerprint, ClaimKey, KeyDate};
 use super::message::RunReport;
 use clementinepond_types::LocalTime;
 
-/// The call waits for the owner's answer.
+/// Stage in which the call waits for the owner's answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Requesting {
     pub(crate) next_send: LocalTime,
+    /// Time at which the call is refused unless the owner has answered.
     pub(crate) owner_deadline: LocalTime,
+    /// Whether the owner answered that another call under the key is running.
     pub(crate) joined: bool,
 }
 
-/// The call may leave for an endpoint, or has left.
+/// Stage in which the call may be dispatched or is running.
 #[derive(Debug, Clone)]
 pub(crate) struct Granted;
 
-/// The run ended; the owner has not confirmed the report.
+/// Stage in which the run has ended and the owner has not acknowledged the report.
 #[derive(Debug, Clone)]
 pub(crate) struct Reporting {
     pub(crate) report: RunReport,
     pub(crate) next_send: LocalTime,
+    /// Time at which the ticket is dropped.
     pub(crate) until: LocalTime,
 }
 
-/// The call ended without a run; a late grant is answered by a report.
+/// Stage in which the call has ended without a run; a grant that arrives late is
+/// answered with the report `NotRun`.
 #[derive(Debug, Clone)]
 pub(crate) struct Closed {
     pub(crate) next_send: LocalTime,
+    /// Time at which the ticket is dropped.
     pub(crate) until: LocalTime,
 }
 
-/// One call in a stage of its life cycle.
+/// Call in stage `S` of its life cycle.
 #[derive(Debug, Clone)]
 pub(crate) struct CallTicket<S> {
     pub(crate) key: ClaimKey,
     pub(crate) fingerprint: BodyFingerprint,
     pub(crate) date: KeyDate,
+    /// Latest time of dispatch.
     pub(crate) deadline: LocalTime,
     pub(crate) stage: S,
 }
 
 impl<S> CallTicket<S> {
+    /// Moves the call to another stage.
     pub(crate) fn enter<T>(self, stage: T) -> CallTicket<T> {
         CallTicket {
             key: self.key,
@@ -53,7 +60,7 @@
     }
 }
 
-/// One call in any stage.
+/// Call in any stage of its life cycle.
 #[derive(Debug, Clone)]
 pub(crate) enum TicketEntry {
     Requesting(CallTicket<Requesting>),
