--- a/crates/clementinepond_daemon/src/node/carry_out.rs
+++ b/crates/clementinepond_daemon/src/node/carry_out.rs
@@ -118,12 +118,12 @@
         }
     }
 
-    fn check_keys(&mut self, asked: Vec<KeyDigest>) {
-        let present = self.edges.in_force.present_keys(&asked);
+    fn check_keys(&mut self, checked: Vec<KeyDigest>) {
+        let present = self.edges.in_force.present_keys(&checked);
         let version = self.edges.in_force.version();
         self.reduce(NodeEvent::Configuration(ConfigurationEvent::KeysChecked {
             version,
-            asked,
+            checked,
             present,
         }));
     }
--- a/crates/clementinepond_daemon/src/node/task.rs
+++ b/crates/clementinepond_daemon/src/node/task.rs
@@ -146,7 +146,7 @@
         let request = self.next_withdrawal;
         self.withdrawals.insert(request, answer);
         self.reduce(NodeEvent::Configuration(
-            ConfigurationEvent::WithdrawalAsked {
+            ConfigurationEvent::WithdrawalRequested {
                 request,
                 keys: vec![key],
             },
--- a/crates/clementinepond_decide/src/configuration/content.rs
+++ b/crates/clementinepond_decide/src/configuration/content.rs
@@ -1,7 +1,7 @@
 //! Taking in versions and passing them on.
 
-use super::spread::{branches, rotated};
-use super::state::AskedVersion;
+use super::state::RequestedVersion;
+use super::tree::{branches, rotated};
 use super::{
     ConfigurationDigest, ConfigurationEffect, ConfigurationMessage, ConfigurationMutation,
     ConfigurationState, ContentDelta, ContentDigest, ContentUpdate,
@@ -32,7 +32,7 @@
 ) {
     let waits = state.booting
         && now < state.boot_until
-        && !state.mutated(ConfigurationMutation::ApplyFirstHeard);
+        && !state.mutated(ConfigurationMutation::ApplyFirstReceived);
     let Some(object) = &state.newest else {
         return;
     };
@@ -49,14 +49,14 @@
 
 /// Sends the newest version to all members of the data centre.
 pub(super) fn push_to_members(state: &ConfigurationState, effects: &mut Vec<ConfigurationEffect>) {
-    let receivers = rotated(&state.local, &state.own, state.newest_version());
+    let receivers = rotated(&state.local, &state.own_vm, state.newest_version());
     let base = state.history.front().map(|object| object.version);
     if let Some(update) = update_from(state, base) {
-        pass_on(state, state.newest_version(), &update, &receivers, effects);
+        forward(state, state.newest_version(), &update, &receivers, effects);
     }
 }
 
-fn pass_on(
+fn forward(
     state: &ConfigurationState,
     version: ObjectVersion,
     update: &ContentUpdate,
@@ -101,7 +101,7 @@
     subtree: &[VmId],
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    pass_on(state, version, update, subtree, effects);
+    forward(state, version, update, subtree, effects);
     let is_older = version <= state.newest_version();
     if is_older && !state.mutated(ConfigurationMutation::AcceptOlder) {
         return;
@@ -119,8 +119,8 @@
         version,
         value: text,
     };
-    let is_news = adopt(state, object);
-    if is_news && subtree.is_empty() && state.relay {
+    let is_adopted = adopt(state, object);
+    if is_adopted && subtree.is_empty() && state.relay {
         push_to_members(state, effects);
     }
 }
@@ -138,9 +138,9 @@
 fn text_of(state: &ConfigurationState, update: &ContentUpdate) -> Option<Box<str>> {
     match update {
         ContentUpdate::Whole { text, digest } => {
-            let is_sound = ContentDigest::of(text) == *digest
+            let is_intact = ContentDigest::of(text) == *digest
                 || state.mutated(ConfigurationMutation::SkipDigestCheck);
-            is_sound.then(|| text.clone())
+            is_intact.then(|| text.clone())
         }
         ContentUpdate::Delta(delta) => {
             let newest = state.newest.as_ref()?;
@@ -185,16 +185,16 @@
     if digest.version == state.newest_version() {
         merge_age(state, digest.age_seconds, now);
     }
-    let is_asked = state
-        .asked
-        .is_some_and(|asked| digest.version <= asked.version && now < asked.retry);
-    let is_lacking = digest.version > state.newest_version();
-    if !is_lacking || is_asked || state.mutated(ConfigurationMutation::SkipRepair) {
+    let is_requested = state
+        .requested
+        .is_some_and(|requested| digest.version <= requested.version && now < requested.retry_at);
+    let is_behind = digest.version > state.newest_version();
+    if !is_behind || is_requested || state.mutated(ConfigurationMutation::SkipRepair) {
         return;
     }
-    state.asked = Some(AskedVersion {
+    state.requested = Some(RequestedVersion {
         version: digest.version,
-        retry: now + state.settings.retry_period,
+        retry_at: now + state.settings.retry_period,
     });
     effects.push(ConfigurationEffect::Send {
         to: from.clone(),
--- a/crates/clementinepond_decide/src/configuration/event.rs
+++ b/crates/clementinepond_decide/src/configuration/event.rs
@@ -58,17 +58,17 @@
         /// The version.
         version: ObjectVersion,
     },
-    /// Which of the asked keys the configuration in force still holds.
+    /// Which of the checked keys the configuration in force still holds.
     KeysChecked {
         /// Version in force when the keys were looked up.
         version: ObjectVersion,
         /// Keys that were looked up.
-        asked: Vec<KeyDigest>,
+        checked: Vec<KeyDigest>,
         /// Those of them that the configuration holds.
         present: Vec<KeyDigest>,
     },
     /// An operator withdraws keys on this VM.
-    WithdrawalAsked {
+    WithdrawalRequested {
         /// Number that the answer carries.
         request: u64,
         /// Digests of the keys.
--- a/crates/clementinepond_decide/src/configuration/message.rs
+++ b/crates/clementinepond_decide/src/configuration/message.rs
@@ -43,7 +43,7 @@
         subtree: Vec<VmId>,
     },
     /// Tells that keys were taken in.
-    WithdrawalsKept {
+    WithdrawalsAcknowledged {
         /// The keys.
         entries: Vec<WithdrawalEntry>,
     },
--- a/crates/clementinepond_decide/src/configuration/reduce.rs
+++ b/crates/clementinepond_decide/src/configuration/reduce.rs
@@ -8,7 +8,7 @@
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan, VmId};
 
 /// Least step by which the acceptance of keys is extended.
-const ACCEPT_STEP: TimeSpan = TimeSpan::from_secs(1);
+const MIN_KEY_ACCEPTANCE_EXTENSION: TimeSpan = TimeSpan::from_secs(1);
 
 /// Takes in one event and returns what the edge must do.
 pub fn reduce(
@@ -36,11 +36,11 @@
             withdrawal::drive_record(state, now, effects);
         }
         ConfigurationEvent::Received { from, message } => {
-            state.note_contact(now);
+            state.record_contact(now);
             received(state, from, message, effects);
         }
         ConfigurationEvent::PeerDigest { from, digest } => {
-            state.note_contact(now);
+            state.record_contact(now);
             compare_versions(state, &from, &digest, now, effects);
             withdrawal::compare(state, &from, &digest, now, effects);
         }
@@ -62,11 +62,11 @@
         ConfigurationEvent::Refused { version } => state.refused = state.refused.max(Some(version)),
         ConfigurationEvent::KeysChecked {
             version,
-            asked,
+            checked,
             present,
-        } => withdrawal::keys_checked(state, version, &asked, &present),
-        ConfigurationEvent::WithdrawalAsked { request, keys } => {
-            withdrawal::asked(state, request, keys, now, effects);
+        } => withdrawal::keys_checked(state, version, &checked, &present),
+        ConfigurationEvent::WithdrawalRequested { request, keys } => {
+            withdrawal::requested(state, request, keys, now, effects);
         }
     }
 }
@@ -87,8 +87,8 @@
         ConfigurationMessage::Withdrawals { entries, subtree } => {
             withdrawal::received(state, from, &entries, &subtree, effects);
         }
-        ConfigurationMessage::WithdrawalsKept { entries } => {
-            withdrawal::kept(state, &from, &entries);
+        ConfigurationMessage::WithdrawalsAcknowledged { entries } => {
+            withdrawal::copy_confirmed(state, &from, &entries);
         }
         ConfigurationMessage::WithdrawalsRequest { groups } => {
             withdrawal::answer_request(state, from, &groups, effects);
@@ -117,9 +117,9 @@
         effects.push(ConfigurationEffect::DigestChanged(digest));
     }
     let until = state.keys_until();
-    let is_later = state
-        .accepted_until
-        .is_none_or(|accepted| accepted + ACCEPT_STEP <= until && accepted != until);
+    let is_later = state.accepted_until.is_none_or(|accepted| {
+        accepted + MIN_KEY_ACCEPTANCE_EXTENSION <= until && accepted != until
+    });
     if is_later {
         state.accepted_until = Some(until);
         effects.push(ConfigurationEffect::AcceptKeys { deadline: until });
--- a/crates/clementinepond_decide/src/configuration/settings.rs
+++ b/crates/clementinepond_decide/src/configuration/settings.rs
@@ -27,9 +27,9 @@
     /// Forgets a withdrawn key when any configuration lacks it.
     ForgetUnrecorded,
     /// Does not pass withdrawn keys on.
-    KeepWithdrawals,
+    SkipWithdrawalForwarding,
     /// Takes the first text heard after a start.
-    ApplyFirstHeard,
+    ApplyFirstReceived,
     /// Does not ask peers for versions that it lacks.
     SkipRepair,
 }
--- a/crates/clementinepond_decide/src/configuration/state.rs
+++ b/crates/clementinepond_decide/src/configuration/state.rs
@@ -1,7 +1,7 @@
 //! What a VM remembers about the configuration.
 
-use super::watch::CallStage;
-use super::withdrawal::WaitingRequest;
+use super::watch::PlatformCall;
+use super::withdrawal::PendingWithdrawal;
 use super::{
     ConfigurationDigest, ConfigurationMutation, ConfigurationSettings, ContentDigest, CutOffPolicy,
     WithdrawalRecord, WithdrawnSet,
@@ -29,18 +29,18 @@
 
 /// Request to a peer that waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct AskedVersion {
+pub(super) struct RequestedVersion {
     /// Version that was announced.
     pub(super) version: ObjectVersion,
     /// When another request may go out.
-    pub(super) retry: LocalTime,
+    pub(super) retry_at: LocalTime,
 }
 
 /// Everything that a VM knows about the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigurationState {
     pub(super) settings: ConfigurationSettings,
-    pub(super) own: VmId,
+    pub(super) own_vm: VmId,
     pub(super) local: Vec<VmId>,
     pub(super) remote: BTreeMap<DataCentreId, Vec<VmId>>,
     pub(super) relay: bool,
@@ -53,23 +53,23 @@
     pub(super) confirmed: Option<LocalTime>,
     pub(super) boot_until: LocalTime,
     pub(super) booting: bool,
-    pub(super) asked: Option<AskedVersion>,
-    pub(super) asked_withdrawals: LocalTime,
-    pub(super) read: CallStage,
+    pub(super) requested: Option<RequestedVersion>,
+    pub(super) next_withdrawals_request: LocalTime,
+    pub(super) read: PlatformCall,
     pub(super) read_missing: bool,
-    pub(super) content_watch: CallStage,
+    pub(super) content_watch: PlatformCall,
     pub(super) content_from: ObjectVersion,
     pub(super) content_too_old: bool,
-    pub(super) record_watch: CallStage,
+    pub(super) record_watch: PlatformCall,
     pub(super) record_from: ObjectVersion,
     pub(super) record_too_old: bool,
-    pub(super) record_work: CallStage,
-    pub(super) record_unsure: bool,
+    pub(super) record_call: PlatformCall,
+    pub(super) record_uncertain: bool,
     pub(super) record: Option<VersionedObject<WithdrawalRecord>>,
     pub(super) record_sent: Option<WithdrawalRecord>,
-    pub(super) record_number: u64,
+    pub(super) last_nonce: u64,
     pub(super) withdrawn: WithdrawnSet,
-    pub(super) waiting: BTreeMap<u64, WaitingRequest>,
+    pub(super) pending_withdrawals: BTreeMap<u64, PendingWithdrawal>,
     pub(super) last_contact: LocalTime,
     pub(super) accepted_until: Option<LocalTime>,
     pub(super) announced: Option<ConfigurationDigest>,
@@ -78,12 +78,12 @@
 impl ConfigurationState {
     /// Starts a process that has no configuration.
     #[must_use]
-    pub fn new(own: VmId, settings: ConfigurationSettings, now: LocalTime) -> Self {
+    pub fn new(own_vm: VmId, settings: ConfigurationSettings, now: LocalTime) -> Self {
         let boot_until = now + settings.boot_wait;
-        let idle = CallStage::Idle { retry: now };
+        let idle = PlatformCall::Idle { retry_at: now };
         Self {
             settings,
-            own,
+            own_vm,
             local: Vec::new(),
             remote: BTreeMap::new(),
             relay: false,
@@ -96,8 +96,8 @@
             confirmed: None,
             boot_until,
             booting: true,
-            asked: None,
-            asked_withdrawals: LocalTime::ORIGIN,
+            requested: None,
+            next_withdrawals_request: LocalTime::ORIGIN,
             read: idle,
             read_missing: false,
             content_watch: idle,
@@ -106,13 +106,13 @@
             record_watch: idle,
             record_from: ObjectVersion::default(),
             record_too_old: true,
-            record_work: idle,
-            record_unsure: false,
+            record_call: idle,
+            record_uncertain: false,
             record: None,
             record_sent: None,
-            record_number: 0,
+            last_nonce: 0,
             withdrawn: WithdrawnSet::default(),
-            waiting: BTreeMap::new(),
+            pending_withdrawals: BTreeMap::new(),
             last_contact: now,
             accepted_until: None,
             announced: None,
@@ -175,7 +175,7 @@
         self.settings.mutation == mutation
     }
 
-    pub(super) fn note_contact(&mut self, now: LocalTime) {
+    pub(super) fn record_contact(&mut self, now: LocalTime) {
         self.last_contact = self.last_contact.max(now);
     }
 }
--- a/crates/clementinepond_decide/src/configuration/watch.rs
+++ b/crates/clementinepond_decide/src/configuration/watch.rs
@@ -8,27 +8,27 @@
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan};
 
 /// Time after which a watch without answer counts as lost.
-const WATCH_LIMIT: TimeSpan = TimeSpan::from_secs(90);
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_secs(90);
 
 /// Call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CallStage {
+pub(super) enum PlatformCall {
     /// No call is out.
     Idle {
         /// When the next call may go out.
-        retry: LocalTime,
+        retry_at: LocalTime,
     },
     /// A call is out.
     Waiting {
         /// When it counts as lost.
-        lapse: LocalTime,
+        expires_at: LocalTime,
     },
 }
 
-impl CallStage {
+impl PlatformCall {
     /// Returns whether a call may go out.
     pub(super) fn is_due(self, now: LocalTime) -> bool {
-        let (Self::Idle { retry: due } | Self::Waiting { lapse: due }) = self;
+        let (Self::Idle { retry_at: due } | Self::Waiting { expires_at: due }) = self;
         now >= due
     }
 }
@@ -40,21 +40,21 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     if state.booting && !state.read_missing && state.read.is_due(now) {
-        state.read = CallStage::Waiting {
-            lapse: now + state.settings.answer_limit,
+        state.read = PlatformCall::Waiting {
+            expires_at: now + state.settings.answer_limit,
         };
         effects.push(ConfigurationEffect::ReadContent);
     }
     if !state.relay {
         return;
     }
-    let lapse = now + WATCH_LIMIT;
+    let expires_at = now + WATCH_TIMEOUT;
     if state.content_watch.is_due(now) {
-        state.content_watch = CallStage::Waiting { lapse };
+        state.content_watch = PlatformCall::Waiting { expires_at };
         effects.push(watch_content(state));
     }
     if state.record_watch.is_due(now) {
-        state.record_watch = CallStage::Waiting { lapse };
+        state.record_watch = PlatformCall::Waiting { expires_at };
         effects.push(watch_record(state));
     }
 }
@@ -84,16 +84,16 @@
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match reply {
+    let retry_at = match reply {
         ReadReply::Found(object) => {
-            state.note_contact(now);
+            state.record_contact(now);
             // The platform's answer is newer than any peer's.
             state.boot_until = state.boot_until.min(now);
             take_from_platform(state, object, now, effects);
             now
         }
         ReadReply::Missing => {
-            state.note_contact(now);
+            state.record_contact(now);
             // The relay's watch brings the first version.
             state.read_missing = true;
             now
@@ -101,7 +101,7 @@
         ReadReply::Unavailable if now < state.boot_until => now + state.settings.retry_period,
         ReadReply::Unavailable => now + state.settings.answer_limit,
     };
-    state.read = CallStage::Idle { retry };
+    state.read = PlatformCall::Idle { retry_at };
 }
 
 fn take_from_platform(
@@ -111,8 +111,8 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let version = object.version;
-    let is_news = adopt(state, object);
-    if is_news && state.relay {
+    let is_adopted = adopt(state, object);
+    if is_adopted && state.relay {
         push_to_members(state, effects);
     }
     if version == state.newest_version() {
@@ -127,14 +127,14 @@
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match answer {
+    let retry_at = match answer {
         WatchAnswer::Changes { version, changes } => {
-            state.note_contact(now);
+            state.record_contact(now);
             let last = changes.into_iter().rev().find_map(|change| change.object);
             if let Some(object) = last {
                 take_from_platform(state, object, now, effects);
             }
-            note_watched(state, version, now);
+            confirm_watched_version(state, version, now);
             now
         }
         WatchAnswer::TooOld => {
@@ -143,10 +143,10 @@
         }
         WatchAnswer::Unavailable => now + state.settings.retry_period,
     };
-    state.content_watch = CallStage::Idle { retry };
+    state.content_watch = PlatformCall::Idle { retry_at };
 }
 
-fn note_watched(state: &mut ConfigurationState, version: ObjectVersion, now: LocalTime) {
+fn confirm_watched_version(state: &mut ConfigurationState, version: ObjectVersion, now: LocalTime) {
     state.content_from = state.content_from.max(version);
     state.content_too_old = false;
     if state.newest.is_some() && state.newest_version() <= version {
@@ -161,9 +161,9 @@
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match answer {
+    let retry_at = match answer {
         WatchAnswer::Changes { version, changes } => {
-            state.note_contact(now);
+            state.record_contact(now);
             state.record_from = state.record_from.max(version);
             state.record_too_old = false;
             for object in changes.into_iter().filter_map(|change| change.object) {
@@ -177,5 +177,5 @@
         }
         WatchAnswer::Unavailable => now + state.settings.retry_period,
     };
-    state.record_watch = CallStage::Idle { retry };
+    state.record_watch = PlatformCall::Idle { retry_at };
 }
--- a/crates/clementinepond_decide/src/configuration/withdrawal.rs
+++ b/crates/clementinepond_decide/src/configuration/withdrawal.rs
@@ -4,8 +4,8 @@
 //! is newer than the record that holds it. Whoever hears from this VM then
 //! hears of that configuration too, so the key stays refused.
 
-use super::spread::{branches, rotated};
-use super::watch::CallStage;
+use super::tree::{branches, rotated};
+use super::watch::PlatformCall;
 use super::{
     ConfigurationDigest, ConfigurationEffect, ConfigurationMessage, ConfigurationMutation,
     ConfigurationState, WithdrawalEntry, WithdrawalRecord, WithdrawnDigest,
@@ -16,14 +16,14 @@
 
 /// Operator's request that waits for copies on other VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct WaitingRequest {
+pub(super) struct PendingWithdrawal {
     keys: BTreeSet<KeyDigest>,
     copies: BTreeSet<VmId>,
     deadline: LocalTime,
 }
 
 /// Takes in an operator's request.
-pub(super) fn asked(
+pub(super) fn requested(
     state: &mut ConfigurationState,
     request: u64,
     keys: Vec<KeyDigest>,
@@ -44,13 +44,13 @@
         })
         .collect();
     merge(state, &entries, effects);
-    spread_everywhere(state, &entries, effects);
-    let waiting = WaitingRequest {
+    send_to_all(state, &entries, effects);
+    let waiting = PendingWithdrawal {
         keys: keys.into_iter().collect(),
         copies: BTreeSet::new(),
         deadline: now + state.settings.copy_wait,
     };
-    state.waiting.insert(request, waiting);
+    state.pending_withdrawals.insert(request, waiting);
 }
 
 /// Adds entries; returns those that changed the set.
@@ -76,30 +76,30 @@
 }
 
 /// Sends entries to every VM: one branch a remote data centre, the rest here.
-fn spread_everywhere(
+fn send_to_all(
     state: &ConfigurationState,
     entries: &[WithdrawalEntry],
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    pass_on(state, entries, &state.local, effects);
+    forward(state, entries, &state.local, effects);
     for members in state.remote.values() {
-        let receivers = rotated(members, &state.own, state.newest_version());
+        let receivers = rotated(members, &state.own_vm, state.newest_version());
         for branch in branches(&receivers, 1) {
             send(branch.to, entries, branch.subtree, effects);
         }
     }
 }
 
-fn pass_on(
+fn forward(
     state: &ConfigurationState,
     entries: &[WithdrawalEntry],
     receivers: &[VmId],
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    if state.mutated(ConfigurationMutation::KeepWithdrawals) {
+    if state.mutated(ConfigurationMutation::SkipWithdrawalForwarding) {
         return;
     }
-    let receivers = rotated(receivers, &state.own, state.newest_version());
+    let receivers = rotated(receivers, &state.own_vm, state.newest_version());
     for branch in branches(&receivers, state.settings.fan_out) {
         send(branch.to, entries, branch.subtree, effects);
     }
@@ -129,19 +129,23 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     merge(state, entries, effects);
-    pass_on(state, entries, subtree, effects);
+    forward(state, entries, subtree, effects);
     effects.push(ConfigurationEffect::Send {
         to: from,
-        message: ConfigurationMessage::WithdrawalsKept {
+        message: ConfigurationMessage::WithdrawalsAcknowledged {
             entries: entries.to_vec(),
         },
     });
 }
 
 /// Counts a copy on another VM.
-pub(super) fn kept(state: &mut ConfigurationState, from: &VmId, entries: &[WithdrawalEntry]) {
+pub(super) fn copy_confirmed(
+    state: &mut ConfigurationState,
+    from: &VmId,
+    entries: &[WithdrawalEntry],
+) {
     let kept: BTreeSet<KeyDigest> = entries.iter().map(|entry| entry.key).collect();
-    for waiting in state.waiting.values_mut() {
+    for waiting in state.pending_withdrawals.values_mut() {
         if waiting.keys.is_subset(&kept) {
             waiting.copies.insert(from.clone());
         }
@@ -155,7 +159,7 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let copies = state.settings.copies;
-    state.waiting.retain(|&request, waiting| {
+    state.pending_withdrawals.retain(|&request, waiting| {
         let is_done = waiting.copies.len() >= copies || now >= waiting.deadline;
         if is_done {
             effects.push(ConfigurationEffect::WithdrawalAccepted {
@@ -176,11 +180,11 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let is_same = digest.withdrawn == state.withdrawn.digest();
-    let keeps = state.mutated(ConfigurationMutation::KeepWithdrawals);
-    if is_same || keeps || now < state.asked_withdrawals {
+    let keeps = state.mutated(ConfigurationMutation::SkipWithdrawalForwarding);
+    if is_same || keeps || now < state.next_withdrawals_request {
         return;
     }
-    state.asked_withdrawals = now + state.settings.retry_period;
+    state.next_withdrawals_request = now + state.settings.retry_period;
     effects.push(ConfigurationEffect::Send {
         to: from.clone(),
         message: ConfigurationMessage::WithdrawalsRequest {
@@ -221,7 +225,7 @@
 pub(super) fn keys_checked(
     state: &mut ConfigurationState,
     version: ObjectVersion,
-    asked: &[KeyDigest],
+    checked: &[KeyDigest],
     present: &[KeyDigest],
 ) {
     let mut may_forget: BTreeSet<KeyDigest> = state
@@ -230,9 +234,9 @@
         .into_iter()
         .collect();
     if state.mutated(ConfigurationMutation::ForgetUnrecorded) {
-        may_forget.extend(asked);
+        may_forget.extend(checked);
     }
-    for key in asked {
+    for key in checked {
         if may_forget.contains(key) && !present.contains(key) {
             state.withdrawn.remove(key);
         }
@@ -245,12 +249,12 @@
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    if !state.relay || state.record_too_old || !state.record_work.is_due(now) {
+    if !state.relay || state.record_too_old || !state.record_call.is_due(now) {
         return;
     }
-    let lapse = now + state.settings.answer_limit;
-    if state.record_unsure {
-        state.record_work = CallStage::Waiting { lapse };
+    let expires_at = now + state.settings.answer_limit;
+    if state.record_uncertain {
+        state.record_call = PlatformCall::Waiting { expires_at };
         effects.push(ConfigurationEffect::ReadRecord);
         return;
     }
@@ -258,18 +262,18 @@
     if unrecorded.is_empty() {
         return;
     }
-    state.record_number += 1;
+    state.last_nonce += 1;
     let record = WithdrawalRecord {
         keys: state.withdrawn.iter().map(|entry| entry.key).collect(),
-        holder: state.own.clone(),
-        nonce: state.record_number,
+        holder: state.own_vm.clone(),
+        nonce: state.last_nonce,
     };
-    state.record_work = CallStage::Waiting { lapse };
+    state.record_call = PlatformCall::Waiting { expires_at };
     state.record_sent = Some(record.clone());
     effects.push(ConfigurationEffect::StoreRecord {
         if_version: record_version(state),
         record,
-        deadline: lapse,
+        deadline: expires_at,
     });
 }
 
@@ -309,7 +313,7 @@
     let changed = merge(state, &entries, effects);
     if !changed.is_empty() {
         let local = state.local.clone();
-        pass_on(state, &changed, &local, effects);
+        forward(state, &changed, &local, effects);
     }
 }
 
@@ -320,20 +324,20 @@
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match reply {
+    let retry_at = match reply {
         ReadReply::Found(object) => {
-            state.record_unsure = false;
+            state.record_uncertain = false;
             adopt_record(state, object, effects);
             now
         }
         ReadReply::Missing => {
-            state.record_unsure = false;
+            state.record_uncertain = false;
             state.record = None;
             now
         }
         ReadReply::Unavailable => now + state.settings.retry_period,
     };
-    state.record_work = CallStage::Idle { retry };
+    state.record_call = PlatformCall::Idle { retry_at };
 }
 
 /// Takes in the answer to an update of the record.
@@ -354,7 +358,7 @@
         }
         (StoreReply::Conflict(Some(object)), _) => adopt_record(state, object, effects),
         // The read shows whether the keys are recorded.
-        _ => state.record_unsure = true,
+        _ => state.record_uncertain = true,
     }
-    state.record_work = CallStage::Idle { retry: now };
+    state.record_call = PlatformCall::Idle { retry_at: now };
 }
--- a/crates/clementinepond_measure/src/experiment/config/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/config/mod.rs
@@ -195,7 +195,7 @@
         self.world.set_outage(true);
         self.settle();
         let begin = self.world.now;
-        let asked = ConfigurationEvent::WithdrawalAsked {
+        let asked = ConfigurationEvent::WithdrawalRequested {
             request: 1,
             keys: vec![key],
         };
--- a/crates/clementinepond_measure/src/experiment/roster/process.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/process.rs
@@ -280,7 +280,7 @@
                     .collect();
                 let event = ConfigurationEvent::KeysChecked {
                     version: self.in_force,
-                    asked: keys,
+                    checked: keys,
                     present,
                 };
                 queue.push_back(event.into());
