--- a/crates/clementinepond_decide/src/configuration/content.rs
+++ b/crates/clementinepond_decide/src/configuration/content.rs
@@ -1,4 +1,4 @@
-//! Taking in versions and passing them on.
+//! Versions of the configuration: adopting, applying and forwarding them.
 
 use super::state::RequestedVersion;
 use super::tree::{branches, rotated};
@@ -9,7 +9,7 @@
 use crate::port::VersionedObject;
 use clementinepond_types::{LocalTime, ObjectVersion, VmId};
 
-/// Takes in a version, unless it is not newer; returns whether it was.
+/// Adopts a version if it is newer than the newest one; returns whether it was adopted.
 pub(super) fn adopt(state: &mut ConfigurationState, object: VersionedObject<Box<str>>) -> bool {
     let is_newer = object.version > state.newest_version();
     if !is_newer && !state.mutated(ConfigurationMutation::AcceptOlder) {
@@ -24,7 +24,8 @@
     true
 }
 
-/// Offers the newest version to the edge, once.
+/// Emits `Apply` for the newest version, once per version. After a start it waits until
+/// the platform has answered or `boot_wait` has passed.
 pub(super) fn offer(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -47,7 +48,7 @@
     });
 }
 
-/// Sends the newest version to all members of the data centre.
+/// Sends the newest version to all members of the data centre through a tree.
 pub(super) fn push_to_members(state: &ConfigurationState, effects: &mut Vec<ConfigurationEffect>) {
     let receivers = rotated(&state.local, &state.own_vm, state.newest_version());
     let base = state.history.front().map(|object| object.version);
@@ -56,6 +57,7 @@
     }
 }
 
+/// Sends an update to receivers through a tree.
 fn forward(
     state: &ConfigurationState,
     version: ObjectVersion,
@@ -75,7 +77,8 @@
     }
 }
 
-/// Returns the newest version, as a difference where the base is kept.
+/// Returns the update to the newest version: a difference if the base is in the history,
+/// the complete text otherwise.
 fn update_from(state: &ConfigurationState, base: Option<ObjectVersion>) -> Option<ContentUpdate> {
     let newest = state.newest.as_ref()?;
     let delta = state
@@ -92,7 +95,9 @@
     })
 }
 
-/// Takes in a version that a peer sent, and passes it on as it came.
+/// Processes an update from a peer, and forwards it unchanged.
+///
+/// Requests the version again if its text cannot be obtained from the update.
 pub(super) fn update_received(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -125,7 +130,8 @@
     }
 }
 
-/// Returns the own version, unless a difference to it has just failed.
+/// Returns the own version as the base of a new request, if the update was a difference
+/// to another version. Otherwise `None` requests the complete text.
 fn usable_base(state: &ConfigurationState, update: &ContentUpdate) -> Option<ObjectVersion> {
     let own = state.newest.as_ref()?.version;
     match update {
@@ -134,7 +140,8 @@
     }
 }
 
-/// Returns the text of an update, when it matches its digest.
+/// Returns the text of an update if it matches its digest and its base is the newest
+/// version.
 fn text_of(state: &ConfigurationState, update: &ContentUpdate) -> Option<Box<str>> {
     match update {
         ContentUpdate::Whole { text, digest } => {
@@ -152,7 +159,7 @@
     }
 }
 
-/// Answers a peer that lacks the newest version.
+/// Sends the newest version to a peer that requested it, unless the peer has it.
 pub(super) fn answer_request(
     state: &ConfigurationState,
     from: VmId,
@@ -174,7 +181,7 @@
     }
 }
 
-/// Compares a peer's digest and asks for what is lacking.
+/// Requests a peer's version if its digest announces a newer one.
 pub(super) fn compare_versions(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -204,11 +211,12 @@
     });
 }
 
+/// Takes over a peer's confirmation of the newest version if it is later.
 fn merge_age(state: &mut ConfigurationState, age: Option<u16>, now: LocalTime) {
     let Some(age) = age else {
         return;
     };
-    // One second more than told, since the peer rounds down.
+    // The peer rounds down to seconds, so 1 s is added.
     let micros = (u64::from(age) + 1) * 1_000_000;
     let at = LocalTime::from_micros(now.micros().saturating_sub(micros));
     state.confirmed = state.confirmed.max(Some(at));
--- a/crates/clementinepond_decide/src/configuration/delta.rs
+++ b/crates/clementinepond_decide/src/configuration/delta.rs
@@ -1,31 +1,31 @@
 //! Difference between two texts.
 //!
-//! An operator's change touches one place of a large text, so the difference
-//! is what lies between the longest common beginning and end.
+//! An operator's change usually affects one place of a large text, so the difference is
+//! the part between the longest common prefix and the longest common suffix.
 
 use super::ContentDigest;
 use clementinepond_types::ObjectVersion;
 use serde::{Deserialize, Serialize};
 
-/// How to make a text from an earlier one.
+/// Difference from which a text is made with an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentDelta {
     /// Version of the earlier text.
     pub base: ObjectVersion,
     /// Digest of the earlier text.
     pub base_digest: ContentDigest,
-    /// Bytes kept from its beginning.
+    /// Number of bytes kept from the start of the earlier text.
     pub prefix: u32,
-    /// Bytes kept from its end.
+    /// Number of bytes kept from the end of the earlier text.
     pub suffix: u32,
-    /// Text between the two.
+    /// New text between prefix and suffix.
     pub middle: Box<str>,
     /// Digest of the new text.
     pub digest: ContentDigest,
 }
 
 impl ContentDelta {
-    /// Compares two texts.
+    /// Returns the difference of two texts; `None` if a length exceeds 32 bits.
     #[must_use]
     pub fn between(base: ObjectVersion, before: &str, after: &str) -> Option<Self> {
         let prefix = common_prefix(before, after);
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Makes the new text, unless the earlier one is not the expected one.
+    /// Returns the new text; `None` if either text does not match its digest.
     #[must_use]
     pub fn apply(&self, before: &str) -> Option<Box<str>> {
         if ContentDigest::of(before) != self.base_digest {
--- a/crates/clementinepond_decide/src/configuration/digest.rs
+++ b/crates/clementinepond_decide/src/configuration/digest.rs
@@ -1,4 +1,4 @@
-//! Digests that heartbeats carry.
+//! Digests carried by heartbeats.
 
 use clementinepond_types::ObjectVersion;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 /// Length of a digest, in bytes.
 const DIGEST_LENGTH: usize = 16;
 
-/// Shortened BLAKE3 hash of a configuration's text.
+/// BLAKE3 hash of a configuration's text, shortened to 16 bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentDigest([u8; DIGEST_LENGTH]);
@@ -19,13 +19,13 @@
     }
 }
 
-/// Digest of a set of withdrawn keys, independent of their order.
+/// XOR of the hashes of withdrawn keys, independent of their order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WithdrawnDigest([u8; DIGEST_LENGTH]);
 
 impl WithdrawnDigest {
-    /// Adds one element, or takes it away again.
+    /// Adds an element, or removes it if it was added before.
     pub(super) fn toggle(&mut self, element: &[u8]) {
         for (byte, other) in self.0.iter_mut().zip(shortened(element)) {
             *byte ^= other;
@@ -41,15 +41,16 @@
     digest
 }
 
-/// What a VM has, in brief.
+/// Summary of a VM's configuration and withdrawn keys, compared with the own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationDigest {
-    /// Newest version that the VM has; zero for none.
+    /// Newest version of the VM; zero for none.
     pub version: ObjectVersion,
-    /// Digest of its text.
+    /// Digest of the text of that version; `None` without one.
     pub content: Option<ContentDigest>,
-    /// Seconds since the platform was known to hold no newer version.
+    /// Seconds since the platform was last known to hold no newer version; `None` if never
+    /// or if they exceed 16 bits.
     pub age_seconds: Option<u16>,
-    /// Digest of the withdrawn keys.
+    /// Digest of the set of withdrawn keys.
     pub withdrawn: WithdrawnDigest,
 }
--- a/crates/clementinepond_decide/src/configuration/effect.rs
+++ b/crates/clementinepond_decide/src/configuration/effect.rs
@@ -1,4 +1,4 @@
-//! What the configuration part asks its edge to do.
+//! Effects of the configuration part, to be executed by the I/O layer.
 
 use super::{ConfigurationDigest, ConfigurationMessage, WithdrawalRecord};
 use clementinepond_types::{KeyDigest, LocalTime, ObjectVersion, VmId};
@@ -9,75 +9,76 @@
 pub enum ConfigurationEffect {
     /// Send a message to another VM.
     Send {
-        /// Receiver.
+        /// Receiving VM.
         to: VmId,
-        /// Message.
+        /// Message to send.
         message: ConfigurationMessage,
     },
-    /// Parse this version and put it in force; answer with `Applied` or
-    /// `Refused`. Keys that it lacks are withdrawn.
+    /// Parse a version and put it in force; answer with `Applied` or `Refused`. Keys
+    /// that it lacks must be refused from then on.
     Apply {
-        /// The version.
+        /// Version to apply.
         version: ObjectVersion,
-        /// Its text.
+        /// Text of the version.
         text: Box<str>,
     },
     /// Read the configuration; answer with `ContentRead`.
     ReadContent,
-    /// List the kind `configuration`; answer with `ContentWatched`.
+    /// List objects of the kind `configuration`; answer with `ContentWatched`.
     ListContent,
     /// Watch the configuration; answer with `ContentWatched`.
     WatchContent {
-        /// Version after which changes are wanted.
+        /// Version after which changes are requested.
         from: ObjectVersion,
     },
-    /// List the kind `withdrawal`; answer with `RecordWatched`.
+    /// List objects of the kind `withdrawal`; answer with `RecordWatched`.
     ListRecords,
     /// Watch the withdrawal record; answer with `RecordWatched`.
     WatchRecord {
-        /// Version after which changes are wanted.
+        /// Version after which changes are requested.
         from: ObjectVersion,
     },
     /// Read the withdrawal record; answer with `RecordRead`.
     ReadRecord,
     /// Update the withdrawal record; answer with `RecordStored`.
     StoreRecord {
-        /// Version that the object must have; zero creates it.
+        /// Version that the object must have; zero to create it.
         if_version: ObjectVersion,
         /// New content.
         record: WithdrawalRecord,
-        /// Moment after which the update must not be sent.
+        /// Time after which the update must not be sent.
         deadline: LocalTime,
     },
-    /// Refuse this key from now on and end its open streams.
+    /// Refuse a key from now on and end its open streams.
     KeyWithdrawn {
         /// Digest of the key.
         key: KeyDigest,
     },
     /// Look keys up in the configuration in force; answer with `KeysChecked`.
     CheckKeys {
-        /// Digests of the keys.
+        /// Digests of the keys to look up.
         keys: Vec<KeyDigest>,
     },
-    /// Accept keys until this moment and refuse all after it.
+    /// Accept keys until a deadline and refuse all keys after it.
     AcceptKeys {
-        /// The moment.
+        /// Deadline of the acceptance; `NEVER` for no limit.
         deadline: LocalTime,
     },
-    /// Tell the operator that the keys are withdrawn.
+    /// Report to the operator that the keys are withdrawn.
     WithdrawalAccepted {
         /// Number of the request.
         request: u64,
-        /// Other VMs known to hold the withdrawal.
+        /// Number of other VMs that acknowledged the keys.
         copies: usize,
     },
-    /// Tell the operator that the keys are not withdrawn: too many are kept.
+    /// Report to the operator that the keys are not withdrawn because the limit would be
+    /// exceeded.
     WithdrawalRefused {
         /// Number of the request.
         request: u64,
-        /// Most keys that are kept.
+        /// Largest number of withdrawn keys.
         limit: usize,
     },
-    /// Give this digest to the heartbeats.
+    /// Send this digest with heartbeats from now on.
     DigestChanged(ConfigurationDigest),
 }
--- a/crates/clementinepond_decide/src/configuration/event.rs
+++ b/crates/clementinepond_decide/src/configuration/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to the configuration.
+//! Events of the configuration part.
 
 use super::{ConfigurationDigest, ConfigurationMessage, WithdrawalRecord};
 use crate::port::{ReadReply, StoreReply};
@@ -10,39 +10,39 @@
 /// Event of the configuration part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationEvent {
-    /// Periodic work; at least four times a second.
+    /// Periodic event that drives timeouts and retries; at least 4 times a second.
     Tick,
-    /// A message of another VM arrived.
+    /// A message arrived from another VM.
     Received {
-        /// Sender.
+        /// Sending VM.
         from: VmId,
-        /// Message.
+        /// Received message.
         message: ConfigurationMessage,
     },
-    /// A heartbeat of another VM carried a digest.
+    /// A heartbeat with a digest arrived from another VM.
     PeerDigest {
-        /// Sender.
+        /// Sending VM.
         from: VmId,
-        /// Its digest.
+        /// Digest of the sending VM.
         digest: ConfigurationDigest,
     },
-    /// The members changed.
+    /// The members of the data centres changed.
     MembersChanged {
-        /// Live members of the own data centre, this VM included.
+        /// Live members of this VM's data centre, this VM included.
         local: Vec<VmId>,
-        /// Members of other data centres.
+        /// Members of the other data centres.
         remote: BTreeMap<DataCentreId, Vec<VmId>>,
     },
-    /// Relay duty began or ended.
+    /// This VM became a relay of its data centre or stopped being one.
     RelayChanged {
-        /// Whether this VM has relay duty.
+        /// Whether this VM is a relay.
         active: bool,
     },
     /// The read of the configuration was answered.
     ContentRead(ReadReply<Box<str>>),
-    /// The watch of the configuration was answered.
+    /// The list or watch of the configuration was answered.
     ContentWatched(WatchAnswer<Box<str>>),
-    /// The watch of the withdrawal record was answered.
+    /// The list or watch of the withdrawal record was answered.
     RecordWatched(WatchAnswer<WithdrawalRecord>),
     /// The read of the withdrawal record was answered.
     RecordRead(ReadReply<WithdrawalRecord>),
@@ -50,28 +50,28 @@
     RecordStored(StoreReply<WithdrawalRecord>),
     /// A version was parsed and is in force.
     Applied {
-        /// The version.
+        /// Version that is in force.
         version: ObjectVersion,
     },
-    /// A version could not be used; the one before stays in force.
+    /// A version could not be applied; the previous one stays in force.
     Refused {
-        /// The version.
+        /// Version that was refused.
         version: ObjectVersion,
     },
-    /// Which of the checked keys the configuration in force still holds.
+    /// Keys were looked up in the configuration in force.
     KeysChecked {
-        /// Version in force when the keys were looked up.
+        /// Version in force at the time of the lookup.
         version: ObjectVersion,
-        /// Keys that were looked up.
+        /// Digests of the keys that were looked up.
         checked: Vec<KeyDigest>,
-        /// Those of them that the configuration holds.
+        /// Digests of those keys that the configuration contains.
         present: Vec<KeyDigest>,
     },
-    /// An operator withdraws keys on this VM.
+    /// An operator requested the withdrawal of keys on this VM.
     WithdrawalRequested {
-        /// Number that the answer carries.
+        /// Number of the request, returned with its answer.
         request: u64,
-        /// Digests of the keys.
+        /// Digests of the keys to withdraw.
         keys: Vec<KeyDigest>,
     },
 }
--- a/crates/clementinepond_decide/src/configuration/message.rs
+++ b/crates/clementinepond_decide/src/configuration/message.rs
@@ -4,52 +4,52 @@
 use clementinepond_types::{ObjectVersion, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Text of a version, whole or as a difference.
+/// Text of a version, complete or as a difference.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ContentUpdate {
-    /// The whole text.
+    /// Complete text.
     Whole {
-        /// The text.
+        /// Text of the version.
         text: Box<str>,
         /// Digest of the text.
         digest: ContentDigest,
     },
-    /// The difference to an earlier version.
+    /// Difference to an earlier version.
     Delta(ContentDelta),
 }
 
-/// Message between two VMs.
+/// Message between VMs about the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationMessage {
-    /// Carries a version.
+    /// Sends a version.
     Update {
-        /// The version.
+        /// Number of the version.
         version: ObjectVersion,
-        /// Its text.
+        /// Text of the version.
         update: ContentUpdate,
-        /// VMs to pass it on to.
+        /// VMs to which the receiver forwards it.
         subtree: Vec<VmId>,
     },
-    /// Asks for the newest version.
+    /// Requests the newest version.
     Request {
-        /// Version that the sender has.
+        /// Version that a difference may be based on; `None` for the complete text.
         have: Option<ObjectVersion>,
     },
-    /// Carries withdrawn keys.
+    /// Sends withdrawn keys.
     Withdrawals {
-        /// The keys.
+        /// Withdrawn keys.
         entries: Vec<WithdrawalEntry>,
-        /// VMs to pass them on to.
+        /// VMs to which the receiver forwards them.
         subtree: Vec<VmId>,
     },
-    /// Tells that keys were taken in.
+    /// Confirms that withdrawn keys are held.
     WithdrawalsAcknowledged {
-        /// The keys.
+        /// Withdrawn keys.
         entries: Vec<WithdrawalEntry>,
     },
-    /// Asks for the withdrawn keys of groups that differ.
+    /// Requests the withdrawn keys of groups whose digests differ.
     WithdrawalsRequest {
-        /// Digest of each group that the sender has.
+        /// Sender's digest of each group.
         groups: Vec<WithdrawnDigest>,
     },
 }
--- a/crates/clementinepond_decide/src/configuration/mod.rs
+++ b/crates/clementinepond_decide/src/configuration/mod.rs
@@ -1,15 +1,15 @@
-//! Configuration: the newest accepted version, relayed between VMs.
+//! Configuration: distribution of the newest version and of withdrawn keys.
 //!
-//! One relay a data centre watches the platform. A new version goes down a
-//! tree of the data centre's VMs, as the difference to the version before
-//! where the receiver has that. Heartbeats carry a digest; a VM that sees a
-//! larger version in one asks the sender for it, which repairs every gap and
-//! reaches data centres without the platform. A smaller version never
+//! One relay per data centre watches the platform. It sends a new version through a
+//! tree of the data centre's VMs, as a difference to the previous version where it
+//! holds that. Heartbeats carry a digest. A VM that receives a digest with a larger
+//! version requests that version from the sender. This repairs every gap and also
+//! reaches data centres that cannot reach the platform. A smaller version never
 //! replaces a larger one.
 //!
-//! Withdrawn keys are a set that only grows until a later configuration
-//! lacks the key. The set spreads in the same messages, in any order, and a
-//! relay writes it to the platform when that can be reached.
+//! Withdrawn keys form a set to which keys are only added, until a later configuration
+//! lacks a key. VMs exchange the set directly, in any order, and a relay records it in
+//! the platform when the platform is reachable.
 
 mod content;
 mod delta;
--- a/crates/clementinepond_decide/src/configuration/reduce.rs
+++ b/crates/clementinepond_decide/src/configuration/reduce.rs
@@ -1,4 +1,5 @@
-//! The reducer of the configuration part.
+//! Reducer of the configuration part: applies an event to the state and returns
+//! effects.
 
 use super::content::{answer_request, compare_versions, offer, update_received};
 use super::watch::{content_read, content_watched, drive_calls, record_watched};
@@ -7,10 +8,11 @@
 };
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan, VmId};
 
-/// Least step by which the acceptance of keys is extended.
+/// Smallest extension of the key acceptance that is announced; limits the number of
+/// `AcceptKeys` effects.
 const MIN_KEY_ACCEPTANCE_EXTENSION: TimeSpan = TimeSpan::from_secs(1);
 
-/// Takes in one event and returns what the edge must do.
+/// Applies one event and returns the effects that the I/O layer must execute.
 pub fn reduce(
     state: &mut ConfigurationState,
     event: ConfigurationEvent,
@@ -105,7 +107,7 @@
     withdrawal::check_keys(state, effects);
 }
 
-/// Announces the digest and the acceptance of keys when they changed.
+/// Announces the digest when it changed, and the key acceptance when it is extended.
 fn announce(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -117,10 +119,10 @@
         effects.push(ConfigurationEffect::DigestChanged(digest));
     }
     let until = state.keys_until();
-    let is_later = state.accepted_until.is_none_or(|accepted| {
+    let is_extended = state.accepted_until.is_none_or(|accepted| {
         accepted + MIN_KEY_ACCEPTANCE_EXTENSION <= until && accepted != until
     });
-    if is_later {
+    if is_extended {
         state.accepted_until = Some(until);
         effects.push(ConfigurationEffect::AcceptKeys { deadline: until });
     }
--- a/crates/clementinepond_decide/src/configuration/settings.rs
+++ b/crates/clementinepond_decide/src/configuration/settings.rs
@@ -3,34 +3,34 @@
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// What a VM does about keys while it hears from nobody.
+/// Policy for keys while a VM has contact neither to other VMs nor to the platform.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutOffPolicy {
-    /// Goes on accepting the keys that it knows.
+    /// Continues to accept the known keys.
     #[default]
     KeepServing,
-    /// Refuses all keys after this time without news.
+    /// Refuses all keys after this time without contact.
     RefuseAfter(TimeSpan),
 }
 
-/// Guard that a test switches off.
+/// Guard that a mutation test disables to show that an invariant depends on it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ConfigurationMutation {
-    /// All guards work.
+    /// All guards are enabled.
     #[default]
     None,
-    /// Replaces a version by an older one.
+    /// Replaces a version with an older one.
     AcceptOlder,
-    /// Applies a text that does not match its digest.
+    /// Adopts a complete text that does not match its digest.
     SkipDigestCheck,
-    /// Forgets a withdrawn key when any configuration lacks it.
+    /// Removes a withdrawn key when any configuration lacks it.
     ForgetUnrecorded,
-    /// Does not pass withdrawn keys on.
+    /// Neither forwards withdrawn keys nor requests them from peers.
     SkipWithdrawalForwarding,
-    /// Takes the first text heard after a start.
+    /// Applies the first version received after a start.
     ApplyFirstReceived,
-    /// Does not ask peers for versions that it lacks.
+    /// Does not request newer versions that peers announce.
     SkipRepair,
 }
 
@@ -38,25 +38,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct ConfigurationSettings {
-    /// Receivers to which one VM passes a message on.
+    /// Largest number of VMs to which one VM forwards a message.
     pub fan_out: usize,
-    /// Longest wait for the platform and peers before the first version applies.
+    /// Longest wait for the platform's answer before the first version is applied.
     pub boot_wait: TimeSpan,
-    /// Time between two tries at the platform or a peer.
+    /// Time between two attempts to reach the platform or a peer.
     pub retry_period: TimeSpan,
-    /// Time after which a call without answer counts as lost.
+    /// Time after which an unanswered platform call counts as lost; watches have their own
+    /// timeout.
     pub answer_limit: TimeSpan,
-    /// Longest wait for copies before a withdrawal is acknowledged.
+    /// Longest wait for other VMs before the operator is answered.
     pub copy_wait: TimeSpan,
-    /// Copies on other VMs that a withdrawal waits for.
+    /// Number of other VMs whose acknowledgement a withdrawal waits for.
     pub copies: usize,
-    /// Most withdrawn keys that are kept.
+    /// Largest number of withdrawn keys up to which operator requests are accepted.
     pub withdrawn_limit: usize,
-    /// Earlier versions kept to send differences.
+    /// Number of earlier versions kept as bases of differences.
     pub history: usize,
-    /// What a VM does about keys while it hears from nobody.
+    /// Policy for keys without contact to other VMs and the platform.
     pub cut_off: CutOffPolicy,
-    /// Guard switched off by a test.
+    /// Guard that a test disables.
     #[serde(skip)]
     pub mutation: ConfigurationMutation,
 }
--- a/crates/clementinepond_decide/src/configuration/tree.rs
+++ b/crates/clementinepond_decide/src/configuration/tree.rs
@@ -1,17 +1,17 @@
-//! Passing messages on in a tree.
+//! Forwarding of messages through a tree of VMs.
 //!
-//! The sender divides the receivers among the first few of them; each gets
-//! the message with the receivers that it passes it on to. So no VM needs the
-//! sender's view of the members.
+//! The sender sends a message to the first few receivers and divides the others among
+//! them. Each message lists the VMs to which its receiver forwards it, so the
+//! receivers need not have the same list of members as the sender.
 
 use clementinepond_types::{ObjectVersion, VmId};
 
-/// One receiver and the VMs that it passes the message on to.
+/// Direct receiver of a message, with the VMs to which it forwards the message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TreeBranch {
-    /// Receiver.
+    /// Direct receiver.
     pub(super) to: VmId,
-    /// VMs behind it.
+    /// VMs to which the receiver forwards the message.
     pub(super) subtree: Vec<VmId>,
 }
 
@@ -37,8 +37,8 @@
     branches
 }
 
-/// Orders receivers differently for each version, so that every VM is at the
-/// root of the tree equally often.
+/// Returns the members except this VM, rotated by the version, so that the VMs near the
+/// root of the tree change from version to version.
 pub(super) fn rotated(members: &[VmId], own: &VmId, version: ObjectVersion) -> Vec<VmId> {
     let mut others: Vec<VmId> = members.iter().filter(|vm| *vm != own).cloned().collect();
     if others.is_empty() {
--- a/crates/clementinepond_decide/src/configuration/watch.rs
+++ b/crates/clementinepond_decide/src/configuration/watch.rs
@@ -1,4 +1,4 @@
-//! The relay's watches, and the read after a start.
+//! Platform calls: the relay's watches, and the read after a start.
 
 use super::content::{adopt, push_to_members};
 use super::withdrawal::adopt_record;
@@ -7,33 +7,33 @@
 use crate::roster::WatchAnswer;
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan};
 
-/// Time after which a watch without answer counts as lost.
+/// Time after which an unanswered list or watch counts as lost.
 const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_secs(90);
 
-/// Call to the platform.
+/// State of one kind of platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlatformCall {
-    /// No call is out.
+    /// No call is outstanding.
     Idle {
-        /// When the next call may go out.
+        /// When the next call may be sent.
         retry_at: LocalTime,
     },
-    /// A call is out.
+    /// A call is outstanding.
     Waiting {
-        /// When it counts as lost.
+        /// When the call counts as lost.
         expires_at: LocalTime,
     },
 }
 
 impl PlatformCall {
-    /// Returns whether a call may go out.
+    /// Returns whether the next call may be sent.
     pub(super) fn is_due(self, now: LocalTime) -> bool {
         let (Self::Idle { retry_at: due } | Self::Waiting { expires_at: due }) = self;
         now >= due
     }
 }
 
-/// Starts the calls that are due.
+/// Sends the calls that are due.
 pub(super) fn drive_calls(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Takes in the answer to a read of the configuration.
+/// Processes the answer to the read of the configuration after a start.
 pub(super) fn content_read(
     state: &mut ConfigurationState,
     reply: ReadReply<Box<str>>,
@@ -87,14 +87,14 @@
     let retry_at = match reply {
         ReadReply::Found(object) => {
             state.record_contact(now);
-            // The platform's answer is newer than any peer's.
+            // The platform holds the newest version, so peers need not be awaited.
             state.boot_until = state.boot_until.min(now);
-            take_from_platform(state, object, now, effects);
+            adopt_from_platform(state, object, now, effects);
             now
         }
         ReadReply::Missing => {
             state.record_contact(now);
-            // The relay's watch brings the first version.
+            // The first version will arrive through the relay's watch.
             state.read_missing = true;
             now
         }
@@ -104,7 +104,8 @@
     state.read = PlatformCall::Idle { retry_at };
 }
 
-fn take_from_platform(
+/// Adopts a version from the platform; a relay sends it to its data centre.
+fn adopt_from_platform(
     state: &mut ConfigurationState,
     object: VersionedObject<Box<str>>,
     now: LocalTime,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Takes in the answer to a watch of the configuration.
+/// Processes the answer to a list or watch of the configuration.
 pub(super) fn content_watched(
     state: &mut ConfigurationState,
     answer: WatchAnswer<Box<str>>,
@@ -132,7 +133,7 @@
             state.record_contact(now);
             let last = changes.into_iter().rev().find_map(|change| change.object);
             if let Some(object) = last {
-                take_from_platform(state, object, now, effects);
+                adopt_from_platform(state, object, now, effects);
             }
             confirm_watched_version(state, version, now);
             now
@@ -146,6 +147,7 @@
     state.content_watch = PlatformCall::Idle { retry_at };
 }
 
+/// Advances the watch, and confirms the newest version if no larger one exists.
 fn confirm_watched_version(state: &mut ConfigurationState, version: ObjectVersion, now: LocalTime) {
     state.content_from = state.content_from.max(version);
     state.content_too_old = false;
@@ -154,7 +156,7 @@
     }
 }
 
-/// Takes in the answer to a watch of the withdrawal record.
+/// Processes the answer to a list or watch of the withdrawal record.
 pub(super) fn record_watched(
     state: &mut ConfigurationState,
     answer: WatchAnswer<WithdrawalRecord>,
--- a/crates/clementinepond_decide/src/configuration/withdrawal.rs
+++ b/crates/clementinepond_decide/src/configuration/withdrawal.rs
@@ -1,8 +1,8 @@
-//! Withdrawals: taking in, passing on, recording and forgetting.
+//! Withdrawn keys: receiving, forwarding, recording and removing them.
 //!
-//! A key is forgotten only when a configuration is in force that lacks it and
-//! is newer than the record that holds it. Whoever hears from this VM then
-//! hears of that configuration too, so the key stays refused.
+//! A withdrawn key is removed from the set only when the configuration in force
+//! lacks the key and is newer than the record that contains it. The digest of this
+//! VM then announces that configuration too, so peers keep refusing the key.
 
 use super::tree::{branches, rotated};
 use super::watch::PlatformCall;
@@ -14,15 +14,16 @@
 use clementinepond_types::{KeyDigest, LocalTime, ObjectVersion, VmId};
 use std::collections::BTreeSet;
 
-/// Operator's request that waits for copies on other VMs.
+/// Operator's withdrawal that waits for acknowledgements of other VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PendingWithdrawal {
     keys: BTreeSet<KeyDigest>,
+    /// VMs that acknowledged all keys of the request.
     copies: BTreeSet<VmId>,
     deadline: LocalTime,
 }
 
-/// Takes in an operator's request.
+/// Processes an operator's withdrawal request.
 pub(super) fn requested(
     state: &mut ConfigurationState,
     request: u64,
@@ -45,15 +46,15 @@
         .collect();
     merge(state, &entries, effects);
     send_to_all(state, &entries, effects);
-    let waiting = PendingWithdrawal {
+    let pending = PendingWithdrawal {
         keys: keys.into_iter().collect(),
         copies: BTreeSet::new(),
         deadline: now + state.settings.copy_wait,
     };
-    state.pending_withdrawals.insert(request, waiting);
+    state.pending_withdrawals.insert(request, pending);
 }
 
-/// Adds entries; returns those that changed the set.
+/// Merges entries into the set of withdrawn keys; returns those that changed it.
 fn merge(
     state: &mut ConfigurationState,
     entries: &[WithdrawalEntry],
@@ -75,7 +76,8 @@
     changed
 }
 
-/// Sends entries to every VM: one branch a remote data centre, the rest here.
+/// Sends entries to every VM: through a tree of the local members, and through one
+/// branch per remote data centre.
 fn send_to_all(
     state: &ConfigurationState,
     entries: &[WithdrawalEntry],
@@ -90,6 +92,7 @@
     }
 }
 
+/// Sends entries to receivers through a tree.
 fn forward(
     state: &ConfigurationState,
     entries: &[WithdrawalEntry],
@@ -120,7 +123,7 @@
     });
 }
 
-/// Takes in withdrawn keys that a peer sent.
+/// Processes withdrawn keys that a peer sent: merges, forwards and acknowledges them.
 pub(super) fn received(
     state: &mut ConfigurationState,
     from: VmId,
@@ -138,40 +141,40 @@
     });
 }
 
-/// Counts a copy on another VM.
+/// Counts the acknowledgement of another VM for each request whose keys it covers.
 pub(super) fn copy_confirmed(
     state: &mut ConfigurationState,
     from: &VmId,
     entries: &[WithdrawalEntry],
 ) {
-    let kept: BTreeSet<KeyDigest> = entries.iter().map(|entry| entry.key).collect();
-    for waiting in state.pending_withdrawals.values_mut() {
-        if waiting.keys.is_subset(&kept) {
-            waiting.copies.insert(from.clone());
+    let acknowledged: BTreeSet<KeyDigest> = entries.iter().map(|entry| entry.key).collect();
+    for request in state.pending_withdrawals.values_mut() {
+        if request.keys.is_subset(&acknowledged) {
+            request.copies.insert(from.clone());
         }
     }
 }
 
-/// Answers operators whose requests have copies enough or waited enough.
+/// Answers requests that have enough acknowledgements or have reached their deadline.
 pub(super) fn answer_operators(
     state: &mut ConfigurationState,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let copies = state.settings.copies;
-    state.pending_withdrawals.retain(|&request, waiting| {
-        let is_done = waiting.copies.len() >= copies || now >= waiting.deadline;
+    state.pending_withdrawals.retain(|&request, pending| {
+        let is_done = pending.copies.len() >= copies || now >= pending.deadline;
         if is_done {
             effects.push(ConfigurationEffect::WithdrawalAccepted {
                 request,
-                copies: waiting.copies.len(),
+                copies: pending.copies.len(),
             });
         }
         !is_done
     });
 }
 
-/// Compares a peer's digest and asks for its keys when they differ.
+/// Requests a peer's withdrawn keys if its digest differs from the own.
 pub(super) fn compare(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -180,8 +183,8 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let is_same = digest.withdrawn == state.withdrawn.digest();
-    let keeps = state.mutated(ConfigurationMutation::SkipWithdrawalForwarding);
-    if is_same || keeps || now < state.next_withdrawals_request {
+    let is_skipped = state.mutated(ConfigurationMutation::SkipWithdrawalForwarding);
+    if is_same || is_skipped || now < state.next_withdrawals_request {
         return;
     }
     state.next_withdrawals_request = now + state.settings.retry_period;
@@ -193,7 +196,7 @@
     });
 }
 
-/// Answers a peer with the keys of the groups in which it differs.
+/// Sends a peer the keys of the groups whose digests differ.
 pub(super) fn answer_request(
     state: &ConfigurationState,
     from: VmId,
@@ -206,7 +209,7 @@
     }
 }
 
-/// Asks the edge which keys the configuration in force still holds.
+/// Requests a check of which recorded keys the configuration in force still contains.
 pub(super) fn check_keys(state: &ConfigurationState, effects: &mut Vec<ConfigurationEffect>) {
     let Some(version) = state.in_force else {
         return;
@@ -221,29 +224,31 @@
     }
 }
 
-/// Forgets keys that the configuration in force lacks.
+/// Removes checked keys that the configuration in force lacks, if they were recorded
+/// before its version.
 pub(super) fn keys_checked(
     state: &mut ConfigurationState,
     version: ObjectVersion,
     checked: &[KeyDigest],
     present: &[KeyDigest],
 ) {
-    let mut may_forget: BTreeSet<KeyDigest> = state
+    let mut removable: BTreeSet<KeyDigest> = state
         .withdrawn
         .recorded_before(version)
         .into_iter()
         .collect();
     if state.mutated(ConfigurationMutation::ForgetUnrecorded) {
-        may_forget.extend(checked);
+        removable.extend(checked);
     }
     for key in checked {
-        if may_forget.contains(key) && !present.contains(key) {
+        if removable.contains(key) && !present.contains(key) {
             state.withdrawn.remove(key);
         }
     }
 }
 
-/// Writes unrecorded keys to the platform, on a relay.
+/// Writes the record if keys are unrecorded, or reads it after a write with unknown
+/// outcome. Only a relay does so, and only once it has listed the record.
 pub(super) fn drive_record(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -277,6 +282,7 @@
     });
 }
 
+/// Returns the known version of the record; zero for none.
 fn record_version(state: &ConfigurationState) -> ObjectVersion {
     state
         .record
@@ -284,7 +290,7 @@
         .map_or_else(ObjectVersion::default, |object| object.version)
 }
 
-/// Takes in the platform's record.
+/// Merges the keys of the platform's record unless its version is known already.
 pub(super) fn adopt_record(
     state: &mut ConfigurationState,
     object: VersionedObject<WithdrawalRecord>,
@@ -293,7 +299,7 @@
     if object.version <= record_version(state) {
         return;
     }
-    let known: BTreeSet<KeyDigest> = state
+    let recorded: BTreeSet<KeyDigest> = state
         .withdrawn
         .iter()
         .filter(|entry| entry.recorded.is_some())
@@ -303,7 +309,7 @@
         .value
         .keys
         .iter()
-        .filter(|key| !known.contains(key))
+        .filter(|key| !recorded.contains(key))
         .map(|&key| WithdrawalEntry {
             key,
             recorded: Some(object.version),
@@ -317,7 +323,7 @@
     }
 }
 
-/// Takes in the answer to a read of the record.
+/// Processes the answer to a read of the record.
 pub(super) fn record_read(
     state: &mut ConfigurationState,
     reply: ReadReply<WithdrawalRecord>,
@@ -340,7 +346,7 @@
     state.record_call = PlatformCall::Idle { retry_at };
 }
 
-/// Takes in the answer to an update of the record.
+/// Processes the answer to an update of the record.
 pub(super) fn record_stored(
     state: &mut ConfigurationState,
     reply: StoreReply<WithdrawalRecord>,
@@ -357,7 +363,7 @@
             adopt_record(state, object, effects);
         }
         (StoreReply::Conflict(Some(object)), _) => adopt_record(state, object, effects),
-        // The read shows whether the keys are recorded.
+        // Outcome unknown: a read shows whether the keys are recorded.
         _ => state.record_uncertain = true,
     }
     state.record_call = PlatformCall::Idle { retry_at: now };
--- a/crates/clementinepond_decide/src/configuration/withdrawn.rs
+++ b/crates/clementinepond_decide/src/configuration/withdrawn.rs
@@ -1,4 +1,4 @@
-//! The set of withdrawn keys.
+//! Set of withdrawn keys.
 
 use super::WithdrawnDigest;
 use clementinepond_types::{KeyDigest, ObjectVersion, VmId};
@@ -6,40 +6,41 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One withdrawn key.
+/// Withdrawn key with the version that records it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WithdrawalEntry {
     /// Digest of the key.
     pub key: KeyDigest,
-    /// Version of the platform's record that holds it, when known.
+    /// Version of the platform's record that contains the key; `None` if none is known.
     pub recorded: Option<ObjectVersion>,
 }
 
-/// The platform's record of withdrawn keys; one object.
+/// Content of the platform object that records all withdrawn keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WithdrawalRecord {
-    /// Digests of the keys.
+    /// Digests of the withdrawn keys.
     pub keys: BTreeSet<KeyDigest>,
-    /// Writer of the last update.
+    /// VM that wrote the last update.
     pub holder: VmId,
-    /// Number of the last update of the writer.
+    /// Number of the update, counted by the writing process.
     pub nonce: u64,
 }
 
-/// Reason for which a withdrawal was refused.
+/// Refusal of a withdrawal because the limit of withdrawn keys would be exceeded.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 #[display(
-    "{limit} withdrawn keys are kept already; remove withdrawn keys from the configuration first"
+    "withdrawal exceeds the limit of {limit} withdrawn keys; remove keys withdrawn earlier from the configuration first"
 )]
 pub struct WithdrawalRefusal {
-    /// Most keys that are kept.
+    /// Largest number of withdrawn keys.
     pub limit: usize,
 }
 
-/// Groups of keys that VMs compare one by one.
+/// Number of groups of keys whose digests VMs compare, so that only keys of differing
+/// groups are sent.
 const GROUP_COUNT: usize = 16;
 
-/// Withdrawn keys and where they are recorded.
+/// Withdrawn keys with the versions that record them, and digests of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WithdrawnSet {
     entries: BTreeMap<KeyDigest, Option<ObjectVersion>>,
@@ -66,14 +67,14 @@
         self.entries.is_empty()
     }
 
-    /// Returns the withdrawn keys.
+    /// Iterates over the withdrawn keys in the order of their digests.
     pub fn iter(&self) -> impl Iterator<Item = WithdrawalEntry> {
         self.entries
             .iter()
             .map(|(&key, &recorded)| WithdrawalEntry { key, recorded })
     }
 
-    /// Returns the digest of the set.
+    /// Returns the digest of the complete set.
     #[must_use]
     pub const fn digest(&self) -> WithdrawnDigest {
         self.digest
@@ -85,7 +86,7 @@
         self.groups.to_vec()
     }
 
-    /// Returns the entries of the groups in which a peer differs.
+    /// Returns the entries of the groups whose digests differ from those of a peer.
     pub(super) fn differing(&self, groups: &[WithdrawnDigest]) -> Vec<WithdrawalEntry> {
         self.iter()
             .filter(|entry| {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Adds an entry or raises its version; returns whether the set changed.
+    /// Adds an entry or raises its recorded version; returns whether the set changed.
     pub(super) fn merge(&mut self, entry: WithdrawalEntry) -> bool {
         let known = self.entries.get(&entry.key).copied();
         let merged = known.map_or(entry.recorded, |known| known.max(entry.recorded));
@@ -116,14 +117,14 @@
         true
     }
 
-    /// Takes a key out of the set.
+    /// Removes a key from the set.
     pub(super) fn remove(&mut self, key: &KeyDigest) {
         if let Some(recorded) = self.entries.remove(key) {
             self.toggle(key, recorded);
         }
     }
 
-    /// Returns the entries that no record holds yet.
+    /// Returns the keys that are not known to be in the platform's record.
     pub(super) fn unrecorded(&self) -> BTreeSet<KeyDigest> {
         self.iter()
             .filter(|entry| entry.recorded.is_none())
@@ -131,7 +132,7 @@
             .collect()
     }
 
-    /// Returns the keys recorded before a version.
+    /// Returns the keys whose recorded version is smaller than a version.
     pub(super) fn recorded_before(&self, version: ObjectVersion) -> Vec<KeyDigest> {
         self.iter()
             .filter(|entry| entry.recorded.is_some_and(|recorded| recorded < version))
--- a/crates/clementinepond_decide/tests/configuration.rs
+++ b/crates/clementinepond_decide/tests/configuration.rs
@@ -1,6 +1,12 @@
-//! Configuration and withdrawn keys: small schedules, each with its guard.
+//! Tests of the configuration and of withdrawn keys.
+//!
+//! Tests with a [`ConfigurationMutation`] also disable the guard that they cover and
+//! check that the result is then wrong.
 
-#![expect(clippy::unwrap_used, reason = "helpers of tests fail the test")]
+#![expect(
+    clippy::unwrap_used,
+    reason = "a failed unwrap in a helper fails the test"
+)]
 
 use clementinepond_decide::configuration::{
     ConfigurationEffect, ConfigurationEvent, ConfigurationMessage, ConfigurationMutation,
@@ -37,7 +43,7 @@
     state(settings(ConfigurationMutation::None))
 }
 
-fn whole(text: &str) -> ContentUpdate {
+fn complete_update(text: &str) -> ContentUpdate {
     ContentUpdate::Whole {
         text: text.into(),
         digest: ContentDigest::of(text),
@@ -60,7 +66,7 @@
 }
 
 fn receive(state: &mut ConfigurationState, version: u64, text: &str) -> Vec<ConfigurationEffect> {
-    receive_at(state, (version, whole(text)), &[], START)
+    receive_at(state, (version, complete_update(text)), &[], START)
 }
 
 fn applied(effects: &[ConfigurationEffect]) -> Option<(u64, &str)> {
@@ -70,7 +76,7 @@
     })
 }
 
-fn asks(effects: &[ConfigurationEffect]) -> bool {
+fn requests_version(effects: &[ConfigurationEffect]) -> bool {
     effects.iter().any(|effect| {
         matches!(
             effect,
@@ -87,7 +93,7 @@
     reduce(state, ConfigurationEvent::Applied { version }, START)
 }
 
-fn keep(state: &mut ConfigurationState, number: u8, recorded: Option<u64>) {
+fn receive_withdrawal(state: &mut ConfigurationState, number: u8, recorded: Option<u64>) {
     let message = ConfigurationMessage::Withdrawals {
         entries: vec![WithdrawalEntry {
             key: key(number),
@@ -107,8 +113,12 @@
     reduce(state, event, START)
 }
 
-/// Answers each lookup as a configuration without the key does.
-fn look_up(state: &mut ConfigurationState, version: u64, effects: &[ConfigurationEffect]) {
+/// Answers each `CheckKeys` as if the configuration lacked all keys.
+fn answer_key_checks(
+    state: &mut ConfigurationState,
+    version: u64,
+    effects: &[ConfigurationEffect],
+) {
     for effect in effects {
         if let ConfigurationEffect::CheckKeys { keys } = effect {
             let event = ConfigurationEvent::KeysChecked {
@@ -122,20 +132,20 @@
 }
 
 #[test]
-fn an_older_version_never_replaces_a_newer_one() {
-    for (mutation, reverts) in [
+fn older_version_does_not_replace_newer() {
+    for (mutation, replaces) in [
         (ConfigurationMutation::None, false),
         (ConfigurationMutation::AcceptOlder, true),
     ] {
         let mut state = state(settings(mutation));
         assert_eq!(applied(&receive(&mut state, 9, "new")), Some((9, "new")));
         let effects = receive(&mut state, 8, "old");
-        assert_eq!(applied(&effects).is_some(), reverts, "{mutation:?}");
+        assert_eq!(applied(&effects).is_some(), replaces, "{mutation:?}");
     }
 }
 
 #[test]
-fn a_text_that_does_not_match_its_digest_is_asked_for_again() {
+fn text_with_wrong_digest_is_requested_again() {
     for (mutation, applies) in [
         (ConfigurationMutation::None, false),
         (ConfigurationMutation::SkipDigestCheck, true),
@@ -143,16 +153,16 @@
         let mut state = state(settings(mutation));
         let update = ContentUpdate::Whole {
             text: "damaged".into(),
-            digest: ContentDigest::of("sound"),
+            digest: ContentDigest::of("intact"),
         };
         let effects = receive_at(&mut state, (3, update), &[], START);
         assert_eq!(applied(&effects).is_some(), applies, "{mutation:?}");
-        assert_eq!(asks(&effects), !applies);
+        assert_eq!(requests_version(&effects), !applies);
     }
 }
 
 #[test]
-fn a_difference_gives_the_new_text_from_its_base_only() {
+fn delta_applies_to_its_base_only() {
     let texts = [
         "",
         "ab",
@@ -173,7 +183,7 @@
 }
 
 #[test]
-fn an_update_is_passed_on_in_a_tree_that_misses_nobody() {
+fn update_reaches_every_vm_once() {
     let members: Vec<VmId> = (10..107)
         .map(|number| vm(&format!("vm-{number}")))
         .collect();
@@ -182,7 +192,7 @@
     while let Some((own, subtree)) = waiting.pop() {
         assert!(reached.insert(own), "each VM receives the update once");
         let mut state = default_state();
-        let effects = receive_at(&mut state, (3, whole("text")), &subtree, START);
+        let effects = receive_at(&mut state, (3, complete_update("text")), &subtree, START);
         let before = waiting.len();
         for effect in effects {
             if let ConfigurationEffect::Send {
@@ -199,14 +209,14 @@
 }
 
 #[test]
-fn a_vm_that_starts_waits_for_the_newest_version() {
+fn starting_vm_waits_for_platform_version() {
     for (mutation, waits) in [
         (ConfigurationMutation::None, true),
         (ConfigurationMutation::ApplyFirstReceived, false),
     ] {
         let mut state = state(settings(mutation));
         let early = LocalTime::ORIGIN;
-        let effects = receive_at(&mut state, (3, whole("old")), &[], early);
+        let effects = receive_at(&mut state, (3, complete_update("old")), &[], early);
         assert_eq!(applied(&effects).is_none(), waits, "{mutation:?}");
         let found = VersionedObject {
             version: ObjectVersion::new(4),
@@ -219,7 +229,7 @@
 }
 
 #[test]
-fn a_vm_that_starts_takes_a_peers_version_when_the_platform_is_away() {
+fn starting_vm_applies_peer_version_without_platform() {
     let mut state = default_state();
     let event = ConfigurationEvent::ContentRead(ReadReply::Unavailable);
     reduce(&mut state, event, LocalTime::ORIGIN);
@@ -227,7 +237,7 @@
 }
 
 #[test]
-fn a_refused_version_leaves_the_one_before_in_force() {
+fn refused_version_keeps_previous_in_force() {
     let mut state = default_state();
     receive(&mut state, 3, "text");
     put_in_force(&mut state, 3);
@@ -240,7 +250,7 @@
 }
 
 #[test]
-fn a_gap_is_repaired_from_a_peers_digest() {
+fn newer_version_in_digest_is_requested() {
     let mut peer = default_state();
     receive(&mut peer, 5, "text");
     let digest = peer.digest(START);
@@ -254,42 +264,42 @@
             digest: digest.clone(),
         };
         let effects = reduce(&mut state, event, START);
-        assert_eq!(asks(&effects), repairs, "{mutation:?}");
+        assert_eq!(requests_version(&effects), repairs, "{mutation:?}");
     }
 }
 
 #[test]
-fn a_key_is_not_forgotten_by_a_configuration_older_than_its_record() {
+fn configuration_older_than_record_keeps_withdrawn_key() {
     for (mutation, is_kept) in [
         (ConfigurationMutation::None, true),
         (ConfigurationMutation::ForgetUnrecorded, false),
     ] {
         let mut state = state(settings(mutation));
-        // Version 3 lacks the key because the key was given later.
+        // Version 3 lacks the key because the key was created after it.
         receive(&mut state, 3, "text");
         put_in_force(&mut state, 3);
         let effects = withdraw(&mut state, 7);
         assert!(effects.contains(&ConfigurationEffect::KeyWithdrawn { key: key(7) }));
-        look_up(&mut state, 3, &effects);
+        answer_key_checks(&mut state, 3, &effects);
         assert_eq!(state.withdrawn().contains(&key(7)), is_kept, "{mutation:?}");
     }
 }
 
 #[test]
-fn a_recorded_key_is_forgotten_by_a_later_configuration() {
+fn configuration_newer_than_record_removes_withdrawn_key() {
     let mut state = default_state();
     withdraw(&mut state, 7);
-    keep(&mut state, 7, Some(10));
+    receive_withdrawal(&mut state, 7, Some(10));
     for (version, is_kept) in [(9, true), (11, false)] {
         receive(&mut state, version, "text");
         let effects = put_in_force(&mut state, version);
-        look_up(&mut state, version, &effects);
+        answer_key_checks(&mut state, version, &effects);
         assert_eq!(state.withdrawn().contains(&key(7)), is_kept);
     }
 }
 
 #[test]
-fn a_lost_answer_about_the_record_is_read_again() {
+fn record_is_read_after_unknown_store_outcome() {
     let mut state = default_state();
     reduce(
         &mut state,
@@ -322,7 +332,7 @@
 }
 
 #[test]
-fn withdrawn_keys_merge_to_the_same_set_in_any_order() {
+fn withdrawn_keys_merge_in_any_order() {
     let entries = [
         (1, None),
         (2, Some(4)),
@@ -335,7 +345,7 @@
         let mut state = default_state();
         for step in 0..entries.len() {
             let (number, recorded) = entries[(turn + step) % entries.len()];
-            keep(&mut state, number, recorded);
+            receive_withdrawal(&mut state, number, recorded);
         }
         let digest = state.withdrawn().digest();
         assert_eq!(*first.get_or_insert(digest), digest);
@@ -343,7 +353,7 @@
 }
 
 #[test]
-fn more_withdrawals_than_the_limit_are_refused() {
+fn withdrawals_beyond_limit_are_refused() {
     let mut state = state(ConfigurationSettings {
         withdrawn_limit: 1,
         ..ConfigurationSettings::default()
@@ -359,7 +369,7 @@
 }
 
 #[test]
-fn a_cut_off_vm_keeps_or_refuses_keys_as_set() {
+fn key_acceptance_deadline_follows_cut_off_policy() {
     let limit = TimeSpan::from_secs(60);
     for (cut_off, deadline) in [
         (CutOffPolicy::KeepServing, LocalTime::NEVER),
@@ -375,21 +385,21 @@
 }
 
 #[test]
-fn a_peer_receives_the_withdrawn_keys_that_it_lacks() {
-    let mut rich = default_state();
-    let mut poor = default_state();
+fn peer_receives_withdrawn_keys_of_differing_group() {
+    let mut complete = default_state();
+    let mut lacking = default_state();
     for number in 1..=40 {
-        keep(&mut rich, number, Some(3));
+        receive_withdrawal(&mut complete, number, Some(3));
         if number != 9 {
-            keep(&mut poor, number, Some(3));
+            receive_withdrawal(&mut lacking, number, Some(3));
         }
     }
     let message = ConfigurationMessage::WithdrawalsRequest {
-        groups: poor.withdrawn().groups(),
+        groups: lacking.withdrawn().groups(),
     };
     let from = vm("vm-2");
     let event = ConfigurationEvent::Received { from, message };
-    let sent = reduce(&mut rich, event, START)
+    let sent = reduce(&mut complete, event, START)
         .into_iter()
         .find_map(|effect| match effect {
             ConfigurationEffect::Send {
