--- a/crates/clementinepond_decide/src/claim/shard_step.rs
+++ b/crates/clementinepond_decide/src/claim/shard_step.rs
@@ -122,7 +122,7 @@
     state.replicas.insert(tenure.shard, replica);
 }
 
-/// Gives up the ownership of a shard that an owner of a newer term takes over.
+/// Ends the ownership of a shard that an owner of a newer term takes over.
 pub(crate) fn step_down(state: &mut ClaimState, shard: ShardNumber, term: u64, now: LocalTime) {
     let Some(ShardEntry::Holding(tenure)) = state.shards.get(&shard) else {
         return;
