--- a/crates/clementinepond_decide/src/claim/owner/commit.rs
+++ b/crates/clementinepond_decide/src/claim/owner/commit.rs
@@ -1,11 +1,11 @@
-//! Group commits of a shard to its platform object.
+//! Group commit of a shard's changes to its platform object.
 
-use super::granting::made_durable;
+use super::granting::mark_durable;
 use super::shard::{
     ActiveState, Collecting, Commit, Holding, OwnerContext, ReplicaSlot, SettledRecord, ShardEntry,
     ShardTenure,
 };
-use super::taking::{assemble, choose_replicas, start};
+use super::takeover::{assemble, choose_replicas, start_read};
 use crate::claim::effect::ClaimEffect;
 use crate::claim::key::ClaimKey;
 use crate::claim::object::{RunningRecord, ShardObject, ShardWitness, encode_batches};
@@ -14,7 +14,7 @@
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Writes the new term with everything that was collected.
+/// Starts ownership with a write of the new term and the collected records.
 pub(crate) fn activate(
     tenure: ShardTenure<Collecting>,
     context: &mut OwnerContext<'_>,
@@ -26,13 +26,16 @@
     ShardEntry::Holding(Box::new(tenure))
 }
 
-/// Writes the object if that is due.
+/// Writes the object if that is due, or reads it after a write with unknown outcome.
 pub(crate) fn flush(tenure: &mut ShardTenure<Holding>, context: &mut OwnerContext<'_>) {
     let shard = tenure.shard;
     let stage = &mut tenure.stage;
     if let Some(commit) = &mut stage.commit {
-        if commit.read_at.is_some_and(|read_at| context.now >= read_at) {
-            commit.read_at = None;
+        if commit
+            .reread_at
+            .is_some_and(|reread_at| context.now >= reread_at)
+        {
+            commit.reread_at = None;
             context.effects.push(ClaimEffect::Read { shard });
         }
         return;
@@ -47,18 +50,18 @@
 
 fn is_due(stage: &Holding, context: &OwnerContext<'_>) -> bool {
     let Some(dirty_since) = stage.dirty_since else {
-        return stage.closing || !stage.activated || wants_replicas(stage, context);
+        return stage.closing || !stage.activated || needs_replica_change(stage, context);
     };
     stage.closing
         || !stage.activated
-        || wants_replicas(stage, context)
+        || needs_replica_change(stage, context)
         || context.now >= dirty_since + context.settings.commit_interval
         || is_urgent(stage, context)
 }
 
-/// Returns whether claims wait that replicas do not make durable in time.
+/// Returns whether a change is still not durable after the wait for replicas.
 fn is_urgent(stage: &Holding, context: &OwnerContext<'_>) -> bool {
-    let patience = if stage.copies_count {
+    let copy_wait = if stage.witnesses_confirmed {
         context.settings.copy_timeout
     } else {
         TimeSpan::ZERO
@@ -67,21 +70,21 @@
         .pending
         .iter()
         .filter_map(|key| stage.active.get(key))
-        .any(|record| context.now >= record.changed_at + patience)
+        .any(|record| context.now >= record.changed_at + copy_wait)
 }
 
-/// Returns whether the replicas should be other ones.
-fn wants_replicas(stage: &Holding, context: &OwnerContext<'_>) -> bool {
-    let wanted = wanted_replicas(stage, context);
-    let same = wanted.len() == stage.replicas.len()
-        && wanted
+/// Returns whether a write must name other replicas or confirm the current ones.
+fn needs_replica_change(stage: &Holding, context: &OwnerContext<'_>) -> bool {
+    let target = target_replicas(stage, context);
+    let same = target.len() == stage.replicas.len()
+        && target
             .iter()
             .zip(&stage.replicas)
             .all(|(a, b)| a.vm == b.vm && a.incarnation == b.incarnation);
-    !same || (!wanted.is_empty() && !stage.copies_count)
+    !same || (!target.is_empty() && !stage.witnesses_confirmed)
 }
 
-fn wanted_replicas(stage: &Holding, context: &OwnerContext<'_>) -> Vec<ReplicaSlot> {
+fn target_replicas(stage: &Holding, context: &OwnerContext<'_>) -> Vec<ReplicaSlot> {
     if stage.closing {
         return Vec::new();
     }
@@ -92,28 +95,28 @@
     let shard = tenure.shard;
     let number = context.next_write();
     let stage = &mut tenure.stage;
-    let replicas = if wants_replicas(stage, context) {
-        wanted_replicas(stage, context)
+    let replicas = if needs_replica_change(stage, context) {
+        target_replicas(stage, context)
     } else {
         stage.replicas.clone()
     };
-    if wants_replicas(stage, context)
+    if needs_replica_change(stage, context)
         && context.settings.mutation != ClaimMutation::CopyBeforeWitness
     {
-        // Until this write is known to be stored, the object may name either
-        // set of witnesses, so that no acknowledgement counts.
-        stage.copies_count = false;
+        // Until the outcome of this write is known, the stored object may name
+        // either set of witnesses, so acknowledgements do not count.
+        stage.witnesses_confirmed = false;
     }
     if context.settings.mutation == ClaimMutation::CopyBeforeWitness {
         stage.replicas.clone_from(&replicas);
-        stage.copies_count = !replicas.is_empty();
+        stage.witnesses_confirmed = !replicas.is_empty();
     }
     let object = encode(stage, &replicas, number, context);
     stage.commit = Some(Commit {
         write: number,
-        covers: stage.sequence,
+        covered_sequence: stage.sequence,
         replicas,
-        read_at: None,
+        reread_at: None,
     });
     stage.last_write_at = context.now;
     stage.dirty_since = None;
@@ -143,7 +146,7 @@
                 time_left: now.until(*expiry),
             });
         } else {
-            settled.insert(*key, settle(stage, key, context));
+            settled.insert(*key, settled_record(stage, key, context));
         }
     }
     let quarantine_left = stage
@@ -164,7 +167,7 @@
 
 fn witnesses(replicas: &[ReplicaSlot], context: &OwnerContext<'_>) -> Vec<ShardWitness> {
     if replicas.is_empty() {
-        // Without replicas nothing is granted before it is in the object.
+        // Without replicas a claim is granted only once it is in the stored object.
         return Vec::new();
     }
     let own = ShardWitness {
@@ -178,29 +181,30 @@
     std::iter::once(own).chain(others).collect()
 }
 
-fn settle(stage: &Holding, key: &ClaimKey, context: &OwnerContext<'_>) -> SettledRecord {
+fn settled_record(stage: &Holding, key: &ClaimKey, context: &OwnerContext<'_>) -> SettledRecord {
     let record = &stage.active[key];
     SettledRecord {
         fingerprint: record.fingerprint,
         dated: record.dated,
         answered: matches!(record.state, ActiveState::Answered(_)),
-        forget_at: record.changed_at + context.settings.kept_for(record.dated),
+        expires_at: record.changed_at + context.settings.retention_of(record.dated),
     }
 }
 
-/// Takes the answer to a write.
+/// Processes the answer to a write; returns the tenure as an error if the ownership was
+/// lost.
 pub(crate) fn commit_stored(
     mut tenure: ShardTenure<Holding>,
     write: u64,
     reply: StoreReply<ShardObject>,
     context: &mut OwnerContext<'_>,
 ) -> Result<ShardEntry, Box<ShardTenure<Holding>>> {
-    let ours = tenure
+    let is_outstanding = tenure
         .stage
         .commit
         .as_ref()
         .is_some_and(|commit| commit.write == write);
-    if !ours {
+    if !is_outstanding {
         return Ok(ShardEntry::Holding(Box::new(tenure)));
     }
     match reply {
@@ -213,7 +217,7 @@
         }
         StoreReply::Unknown => {
             if let Some(commit) = &mut tenure.stage.commit {
-                commit.read_at = Some(context.now);
+                commit.reread_at = Some(context.now);
             }
             flush(&mut tenure, context);
         }
@@ -221,7 +225,7 @@
     Ok(ShardEntry::Holding(Box::new(tenure)))
 }
 
-/// Finds out whether an unanswered write took effect.
+/// Processes a read that determines whether a write with unknown outcome was stored.
 pub(crate) fn commit_read(
     mut tenure: ShardTenure<Holding>,
     reply: ReadReply<ShardObject>,
@@ -231,7 +235,7 @@
     match (&mut tenure.stage.commit, reply) {
         (None, _) => {}
         (Some(_), ReadReply::Found(found)) => return resolve(tenure, found, context),
-        (Some(commit), ReadReply::Unavailable) => commit.read_at = Some(retry_at),
+        (Some(commit), ReadReply::Unavailable) => commit.reread_at = Some(retry_at),
         (Some(_), ReadReply::Missing) => {
             if tenure.stage.version.is_some() {
                 return Err(Box::new(tenure));
@@ -242,7 +246,7 @@
     Ok(ShardEntry::Holding(Box::new(tenure)))
 }
 
-/// Compares the stored object with the write on its way.
+/// Compares the stored object with the outstanding write.
 fn resolve(
     mut tenure: ShardTenure<Holding>,
     found: VersionedObject<ShardObject>,
@@ -254,13 +258,14 @@
     if own && write == Some(found.value.write) {
         stored(&mut tenure, found.version, context);
     } else if own || stage.version == Some(found.version) {
-        // Not stored yet, or an earlier write of this VM came late.
+        // This write is not stored: the object is unchanged, or an earlier write of
+        // this process was stored late.
         stage.version = Some(found.version);
         retry(stage, context.now);
     } else if stage.version > Some(found.version) {
-        // A read that was answered late.
+        // The read is outdated; read again.
         if let Some(commit) = &mut stage.commit {
-            commit.read_at = Some(context.now + context.settings.commit_gap);
+            commit.reread_at = Some(context.now + context.settings.commit_gap);
         }
     } else {
         return Err(Box::new(tenure));
@@ -268,11 +273,13 @@
     Ok(ShardEntry::Holding(Box::new(tenure)))
 }
 
+/// Discards the outstanding write, so that its changes are written again.
 fn retry(stage: &mut Holding, now: LocalTime) {
     stage.commit = None;
     stage.dirty_since.get_or_insert(now);
 }
 
+/// Applies a stored write: its changes are durable and its replicas count.
 fn stored(
     tenure: &mut ShardTenure<Holding>,
     version: ObjectVersion,
@@ -284,28 +291,30 @@
     };
     stage.version = Some(version);
     stage.activated = true;
-    stage.flushed = commit.covers;
-    keep_silence(stage, commit.replicas);
-    stage.copies_count = !stage.replicas.is_empty();
+    stage.flushed = commit.covered_sequence;
+    replace_replicas(stage, commit.replicas);
+    stage.witnesses_confirmed = !stage.replicas.is_empty();
     let durable: Vec<ClaimKey> = stage
         .pending
         .iter()
-        .filter(|key| stage.active[key].sequence <= commit.covers)
+        .filter(|key| stage.active[key].sequence <= commit.covered_sequence)
         .copied()
         .collect();
     for key in durable {
-        made_durable(tenure, key, context);
+        mark_durable(tenure, key, context);
     }
     settle_flushed(&mut tenure.stage, context);
     tenure.stage.next_resend = context.now;
     super::copying::resend_copies(tenure, context);
 }
 
-fn keep_silence(stage: &mut Holding, replicas: Vec<ReplicaSlot>) {
+/// Sets the replicas of a stored write. Members that stay keep their time without an
+/// acknowledgement; a changed set invalidates the acknowledgements of copies.
+fn replace_replicas(stage: &mut Holding, replicas: Vec<ReplicaSlot>) {
     let known: BTreeMap<_, _> = stage
         .replicas
         .drain(..)
-        .map(|slot| ((slot.vm, slot.incarnation), slot.silent_since))
+        .map(|slot| ((slot.vm, slot.incarnation), slot.unacknowledged_since))
         .collect();
     let same_set = known.len() == replicas.len()
         && replicas
@@ -319,11 +328,11 @@
     stage.replicas = replicas;
     for slot in &mut stage.replicas {
         let same = known.get(&(slot.vm.clone(), slot.incarnation));
-        slot.silent_since = same.copied().flatten();
+        slot.unacknowledged_since = same.copied().flatten();
     }
 }
 
-/// Keeps ended and stored claims as compact records.
+/// Moves ended claims without an answer to their compact form once they are stored.
 fn settle_flushed(stage: &mut Holding, context: &OwnerContext<'_>) {
     let ended: Vec<ClaimKey> = stage
         .active
@@ -338,13 +347,13 @@
         .map(|(key, _)| *key)
         .collect();
     for key in ended {
-        let record = settle(stage, &key, context);
+        let record = settled_record(stage, &key, context);
         stage.active.remove(&key);
         stage.settled.insert(key, record);
     }
 }
 
-/// Returns whether nothing of the shard is missing from the platform.
+/// Returns whether a closing shard is stored completely and without witnesses.
 pub(crate) fn release_done(stage: &Holding) -> bool {
     stage.closing
         && stage.activated
@@ -353,7 +362,10 @@
         && stage.flushed == stage.sequence
 }
 
-/// Starts again after another owner wrote the object.
-pub(crate) fn deposed(tenure: &ShardTenure<Holding>, context: &mut OwnerContext<'_>) -> ShardEntry {
-    start(tenure.shard, context)
+/// Starts the takeover again after the ownership was lost.
+pub(crate) fn restart_takeover(
+    tenure: &ShardTenure<Holding>,
+    context: &mut OwnerContext<'_>,
+) -> ShardEntry {
+    start_read(tenure.shard, context)
 }
--- a/crates/clementinepond_decide/src/claim/owner/granting.rs
+++ b/crates/clementinepond_decide/src/claim/owner/granting.rs
@@ -1,4 +1,4 @@
-//! Answers to calls and reports on runs.
+//! Answers to claim requests, and reports of runs.
 
 use super::copying::copy_one;
 use super::shard::{ActiveRecord, ActiveState, Holding, OwnerContext, ShardTenure};
@@ -6,14 +6,16 @@
 use crate::claim::event::RunOutcome;
 use crate::claim::key::{BodyFingerprint, ClaimKey, KeyDate};
 use crate::claim::message::{ClaimMessage, OwnerReply, RunReport};
-use crate::claim::object::RUNNING_WIDTH;
+use crate::claim::object::RUNNING_RECORD_MAX_SIZE;
 use crate::claim::record::RunHolder;
 use crate::claim::settings::ClaimMutation;
 use clementinepond_types::{LocalTime, TimeSpan};
 use std::collections::BTreeSet;
 
-/// Calls that are told at once when a run ends; others ask again.
+/// Largest number of waiting calls per claim that are sent the outcome at once; others
+/// get it when they resend their request.
 const WAITER_LIMIT: usize = 16;
+
 fn reply(to: &RunHolder, reply: OwnerReply, context: &mut OwnerContext<'_>) {
     context.effects.push(ClaimEffect::Send {
         to: to.vm.clone(),
@@ -25,8 +27,9 @@
     });
 }
 
-/// Answers a call.
-pub(crate) fn ask(
+/// Processes a claim request. A closing shard does not answer, so that the request is
+/// resent to the next owner.
+pub(crate) fn request(
     tenure: &mut ShardTenure<Holding>,
     holder: RunHolder,
     key: ClaimKey,
@@ -40,7 +43,7 @@
     }
     let answer = match known_reply(&mut tenure.stage, &holder, key, fingerprint) {
         Some(answer) => answer,
-        None => match admit(&mut tenure.stage, date, context) {
+        None => match admission_refusal(&mut tenure.stage, date, context) {
             Some(reason) => Some(OwnerReply::Refused(reason)),
             None => {
                 insert(
@@ -61,7 +64,8 @@
     }
 }
 
-/// Looks the key up; the outer `None` means that it is free.
+/// Returns the answer from the key's record. The outer `None` means that the key is
+/// free, the inner one that the answer follows when the claim is durable.
 fn known_reply(
     stage: &mut Holding,
     holder: &RunHolder,
@@ -88,14 +92,14 @@
     Some(Some(answer))
 }
 
-fn active_reply(record: &mut ActiveRecord, asker: &RunHolder) -> Option<OwnerReply> {
+fn active_reply(record: &mut ActiveRecord, requester: &RunHolder) -> Option<OwnerReply> {
     match &record.state {
-        ActiveState::Running { holder, .. } if holder == asker => {
+        ActiveState::Running { holder, .. } if holder == requester => {
             record.durable.then_some(OwnerReply::Granted)
         }
         ActiveState::Running { .. } => {
-            if record.waiters.len() < WAITER_LIMIT && !record.waiters.contains(asker) {
-                record.waiters.push(asker.clone());
+            if record.waiters.len() < WAITER_LIMIT && !record.waiters.contains(requester) {
+                record.waiters.push(requester.clone());
             }
             Some(OwnerReply::Joined)
         }
@@ -104,12 +108,16 @@
     }
 }
 
-/// Returns the reason for which no new claim may be made, if there is one.
-fn admit(stage: &mut Holding, date: KeyDate, context: &OwnerContext<'_>) -> Option<ClaimRefusal> {
+/// Returns the reason why a new claim must be refused, if there is one.
+fn admission_refusal(
+    stage: &mut Holding,
+    date: KeyDate,
+    context: &OwnerContext<'_>,
+) -> Option<ClaimRefusal> {
     if is_quarantined(stage, date, context) {
         return Some(ClaimRefusal::Quarantined);
     }
-    if stage.object_size() + RUNNING_WIDTH <= context.settings.object_limit {
+    if stage.object_size() + RUNNING_RECORD_MAX_SIZE <= context.settings.object_limit {
         return None;
     }
     if context.settings.mutation == ClaimMutation::ForgetWhenFull {
@@ -117,7 +125,7 @@
             .settled
             .iter()
             .filter(|(_, record)| !record.dated)
-            .min_by_key(|(_, record)| record.forget_at)
+            .min_by_key(|(_, record)| record.expires_at)
             .map(|(key, _)| *key);
         if let Some(key) = oldest {
             stage.settled.remove(&key);
@@ -127,6 +135,7 @@
     Some(ClaimRefusal::Full)
 }
 
+/// Returns whether a key may be older than the quarantine that is in effect.
 fn is_quarantined(stage: &Holding, date: KeyDate, context: &OwnerContext<'_>) -> bool {
     let Some(quarantine) = stage.quarantine else {
         return false;
@@ -134,7 +143,8 @@
     if context.now >= quarantine.until {
         return false;
     }
-    // Two clocks take part: the one that dated the key and the one that read it.
+    // Two clocks contribute an offset: the one that dated the key and the one that
+    // determined its age.
     let margin = context.settings.clock_margin + context.settings.clock_margin;
     match date {
         KeyDate::Past(age) => age + margin >= context.now.since(quarantine.since),
@@ -173,12 +183,12 @@
     stage.pending.insert(key);
     copy_one(tenure, key, context);
     if context.settings.mutation == ClaimMutation::GrantBeforeDurable {
-        made_durable(tenure, key, context);
+        mark_durable(tenure, key, context);
     }
 }
 
-/// Grants a claim, or confirms a report, that can no longer be lost.
-pub(crate) fn made_durable(
+/// Marks a change as durable, and grants the claim or acknowledges the report.
+pub(crate) fn mark_durable(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
     context: &mut OwnerContext<'_>,
@@ -209,7 +219,8 @@
     });
 }
 
-/// Takes the report of a granted call.
+/// Processes a report. A closing shard ignores reports of runs, which are resent to the
+/// next owner.
 pub(crate) fn report(
     tenure: &mut ShardTenure<Holding>,
     holder: &RunHolder,
@@ -223,37 +234,39 @@
         RunReport::NotRun => release(tenure, holder, key, context),
         RunReport::Ended(outcome) => {
             if !tenure.stage.closing {
-                end(tenure, holder, key, fingerprint, dated, outcome, context);
+                record_outcome(tenure, holder, key, fingerprint, dated, outcome, context);
             }
         }
     }
 }
 
-/// Frees a claim whose holder ran nothing.
+/// Frees a claim whose holder did not run, and acknowledges the report.
 fn release(
     tenure: &mut ShardTenure<Holding>,
     reporter: &RunHolder,
     key: ClaimKey,
     context: &mut OwnerContext<'_>,
 ) {
-    let any = context.settings.mutation == ClaimMutation::ReleaseAnyHolder;
+    let any_holder = context.settings.mutation == ClaimMutation::ReleaseAnyHolder;
     let stage = &mut tenure.stage;
-    let held = stage.active.get(&key).is_some_and(|record| {
-        matches!(&record.state, ActiveState::Running { holder, .. } if holder == reporter || any)
+    let is_held = stage.active.get(&key).is_some_and(|record| {
+        matches!(&record.state, ActiveState::Running { holder, .. } if holder == reporter || any_holder)
     });
-    if held {
+    if is_held {
         free(stage, key, context.now);
     }
     acknowledge(reporter, context);
 }
 
+/// Removes a claim, so that its key may be claimed again.
 pub(super) fn free(stage: &mut Holding, key: ClaimKey, now: LocalTime) {
     stage.next_sequence(now);
     stage.active.remove(&key);
     stage.pending.remove(&key);
 }
 
-fn end(
+/// Records the outcome of a run, unless a record that is as final exists.
+fn record_outcome(
     tenure: &mut ShardTenure<Holding>,
     holder: &RunHolder,
     key: ClaimKey,
@@ -276,7 +289,7 @@
         }
         return;
     }
-    change(
+    set_outcome(
         tenure,
         key,
         fingerprint,
@@ -287,7 +300,7 @@
     );
 }
 
-/// Returns whether the stored outcome is at least as certain as a new one.
+/// Returns whether the known outcome of a key is at least as final as a new one.
 fn is_final(stage: &Holding, key: ClaimKey, new: &ActiveState) -> bool {
     let known = match stage.active.get(&key).map(|record| &record.state) {
         Some(ActiveState::Answered(_)) => return true,
@@ -302,8 +315,8 @@
     }
 }
 
-/// Sets the outcome of a claim, copies it and tells who waits for it.
-pub(super) fn change(
+/// Sets the outcome of a claim, copies it to replicas and answers the waiting calls.
+pub(super) fn set_outcome(
     tenure: &mut ShardTenure<Holding>,
     key: ClaimKey,
     fingerprint: BodyFingerprint,
@@ -344,7 +357,7 @@
     copy_one(tenure, key, context);
 }
 
-/// Drops the oldest answers beyond the budget.
+/// Drops the oldest answers until the rest fits the budget.
 fn drop_answers(stage: &mut Holding, context: &OwnerContext<'_>) {
     while stage.answer_bytes > context.settings.answer_budget {
         let Some((sequence, key)) = stage.answers.pop_first() else {
--- a/crates/clementinepond_decide/src/claim/owner/taking.rs
+++ b/crates/clementinepond_decide/src/claim/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes a shard over from its former owner.
+//! Takeover of a shard from its former owner.
 
 use super::shard::{
     ActiveRecord, ActiveState, Collecting, Holding, OwnerContext, Quarantine, Reading, ReplicaSlot,
@@ -14,11 +14,11 @@
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Copy timeouts that a new owner waits for replicas to enlist.
-const ENLIST_ROUNDS: u64 = 5;
+/// Longest time that a new owner waits for replicas to enlist, in copy timeouts.
+const ENLIST_WAIT_IN_COPY_TIMEOUTS: u64 = 5;
 
-/// Begins with a read of the object.
-pub(crate) fn start(shard: ShardNumber, context: &mut OwnerContext<'_>) -> ShardEntry {
+/// Starts a takeover with a read of the object.
+pub(crate) fn start_read(shard: ShardNumber, context: &mut OwnerContext<'_>) -> ShardEntry {
     context.effects.push(ClaimEffect::Read { shard });
     let stage = Reading {
         read_at: context.now,
@@ -27,7 +27,8 @@
     ShardEntry::Reading(ShardTenure { shard, stage })
 }
 
-fn pause(shard: ShardNumber, context: &OwnerContext<'_>) -> ShardEntry {
+/// Schedules another read of the object after `commit_gap`.
+fn retry_read_later(shard: ShardNumber, context: &OwnerContext<'_>) -> ShardEntry {
     let stage = Reading {
         read_at: context.now,
         retry_at: context.now + context.settings.commit_gap,
@@ -35,7 +36,7 @@
     ShardEntry::Reading(ShardTenure { shard, stage })
 }
 
-/// Asks the witnesses of the former term once the object is known.
+/// Processes the read of the object and starts to collect from its witnesses.
 pub(crate) fn read_replied(
     tenure: ShardTenure<Reading>,
     reply: ReadReply<ShardObject>,
@@ -47,18 +48,18 @@
     let found = match reply {
         ReadReply::Found(found) => Some(found),
         ReadReply::Missing => None,
-        ReadReply::Unavailable => return pause(tenure.shard, context),
+        ReadReply::Unavailable => return retry_read_later(tenure.shard, context),
     };
-    // Epochs of two data centres cannot be compared.
+    // Epochs of different data centres cannot be compared.
     let newer = found.as_ref().is_some_and(|found| {
-        !context.strangers.contains(&found.value.holder) && found.value.epoch > context.epoch
+        !context.remote_peers.contains(&found.value.holder) && found.value.epoch > context.epoch
     });
     if newer {
-        // A later roster gave the shard to another VM; wait for that roster.
-        return pause(tenure.shard, context);
+        // A newer roster assigned the shard to another VM; wait for that roster.
+        return retry_read_later(tenure.shard, context);
     }
     let stage = collecting(found, tenure.stage.read_at, context);
-    taking_step(tenure.enter(stage), context)
+    takeover_step(tenure.enter(stage), context)
 }
 
 fn collecting(
@@ -87,19 +88,23 @@
     }
 }
 
-/// Repeats what is unanswered.
-pub(crate) fn taking_tick(entry: ShardEntry, context: &mut OwnerContext<'_>) -> ShardEntry {
+/// Reads again or resends messages, if that is due.
+pub(crate) fn takeover_tick(entry: ShardEntry, context: &mut OwnerContext<'_>) -> ShardEntry {
     match entry {
         ShardEntry::Reading(tenure) if context.now >= tenure.stage.retry_at => {
-            start(tenure.shard, context)
+            start_read(tenure.shard, context)
         }
-        ShardEntry::Collecting(tenure) => taking_step(*tenure, context),
+        ShardEntry::Collecting(tenure) => takeover_step(*tenure, context),
         other => other,
     }
 }
 
-fn taking_step(mut tenure: ShardTenure<Collecting>, context: &mut OwnerContext<'_>) -> ShardEntry {
-    mark_gone(&mut tenure.stage, context);
+/// Activates the shard once its records are collected, or sends the due messages.
+fn takeover_step(
+    mut tenure: ShardTenure<Collecting>,
+    context: &mut OwnerContext<'_>,
+) -> ShardEntry {
+    mark_lost_witnesses(&mut tenure.stage, context);
     if is_collected(&tenure.stage, context) && is_enlisted(&tenure.stage, context) {
         return super::commit::activate(tenure, context);
     }
@@ -109,16 +114,17 @@
     ShardEntry::Collecting(Box::new(tenure))
 }
 
-/// Counts processes as gone that this VM replaced or that left the roster.
-fn mark_gone(stage: &mut Collecting, context: &OwnerContext<'_>) {
+/// Marks witnesses as lost whose VM left all known rosters, or which are earlier
+/// processes of this VM.
+fn mark_lost_witnesses(stage: &mut Collecting, context: &OwnerContext<'_>) {
     for (witness, progress) in &mut stage.witnesses {
         let replaced = witness.vm == *context.vm && witness.incarnation != context.incarnation;
-        // A shard may have come from another data centre.
-        let left = witness.vm != *context.vm
-            && !context.others.contains(&witness.vm)
-            && !context.strangers.contains(&witness.vm);
-        if (replaced || left) && *progress != WitnessProgress::Complete {
-            *progress = WitnessProgress::Forgotten;
+        // The former owner and its replicas may belong to another data centre.
+        let removed = witness.vm != *context.vm
+            && !context.local_peers.contains(&witness.vm)
+            && !context.remote_peers.contains(&witness.vm);
+        if (replaced || removed) && *progress != WitnessProgress::Complete {
+            *progress = WitnessProgress::Lost;
         }
     }
 }
@@ -127,12 +133,18 @@
     let progress = || stage.witnesses.values();
     context.settings.mutation == ClaimMutation::SkipCollect
         || progress().any(|one| *one == WitnessProgress::Complete)
-        || progress().all(|one| *one == WitnessProgress::Forgotten)
+        || progress().all(|one| *one == WitnessProgress::Lost)
 }
 
 fn is_enlisted(stage: &Collecting, context: &OwnerContext<'_>) -> bool {
-    let wanted = context.settings.replica_count.min(context.others.len());
-    let wait = context.settings.copy_timeout.fraction(ENLIST_ROUNDS, 1);
+    let wanted = context
+        .settings
+        .replica_count
+        .min(context.local_peers.len());
+    let wait = context
+        .settings
+        .copy_timeout
+        .fraction(ENLIST_WAIT_IN_COPY_TIMEOUTS, 1);
     stage.enlisted.len() >= wanted || context.now >= stage.started_at + wait
 }
 
@@ -154,7 +166,11 @@
             context.effects.push(ClaimEffect::Send { to, message });
         }
     }
-    for to in context.others.iter().take(context.settings.replica_count) {
+    for to in context
+        .local_peers
+        .iter()
+        .take(context.settings.replica_count)
+    {
         if !stage.enlisted.contains_key(to) {
             context.effects.push(ClaimEffect::Send {
                 to: to.clone(),
@@ -164,7 +180,7 @@
     }
 }
 
-/// Takes records of a witness.
+/// Processes one batch of a witness's records.
 pub(crate) fn collected(
     mut tenure: ShardTenure<Collecting>,
     from: VmId,
@@ -185,7 +201,7 @@
         return ShardEntry::Collecting(Box::new(tenure));
     }
     match copies {
-        CollectedCopies::Forgotten => *progress = WitnessProgress::Forgotten,
+        CollectedCopies::Lost => *progress = WitnessProgress::Lost,
         CollectedCopies::Records { records, more } => {
             let last = records.last().map(|record| record.key);
             *progress = match last {
@@ -198,9 +214,10 @@
             stage.next_send = context.now;
         }
     }
-    taking_step(tenure, context)
+    takeover_step(tenure, context)
 }
 
+/// Ranks states by how final they are; a copy of higher rank replaces others.
 fn finality(state: &CopyState) -> u8 {
     match state {
         CopyState::Released => 0,
@@ -218,21 +235,21 @@
     }
 }
 
-/// Builds the owned shard from the object and the witnesses' records.
+/// Builds the owned shard from the former object and the witnesses' records.
 pub(crate) fn assemble(stage: Collecting, context: &OwnerContext<'_>) -> Holding {
     let now = context.now;
-    let lost = !stage.witnesses.is_empty()
+    let all_lost = !stage.witnesses.is_empty()
         && stage
             .witnesses
             .values()
-            .all(|one| *one == WitnessProgress::Forgotten);
+            .all(|one| *one == WitnessProgress::Lost);
     let mut holding = Holding {
         term: stage.term,
         version: stage.version,
         replicas: Vec::new(),
         enlisted: stage.enlisted,
         activated: false,
-        copies_count: false,
+        witnesses_confirmed: false,
         active: BTreeMap::new(),
         pending: BTreeSet::new(),
         answers: BTreeMap::new(),
@@ -243,7 +260,7 @@
         dirty_since: Some(now),
         last_write_at: LocalTime::ORIGIN,
         commit: None,
-        quarantine: quarantine(stage.former.as_ref(), stage.read_at, lost, context),
+        quarantine: quarantine(stage.former.as_ref(), stage.read_at, all_lost, context),
         next_sweep: now,
         next_resend: now,
         closing: false,
@@ -256,8 +273,8 @@
         }
     }
     for (key, copy) in stage.copies {
-        if adds_knowledge(&holding, &copy) {
-            let copy = without_doubt(&holding, copy);
+        if is_more_final(&holding, &copy) {
+            let copy = resolve_holder_conflict(&holding, copy);
             holding.active.remove(&key);
             adopt(&mut holding, copy, context);
         }
@@ -265,7 +282,8 @@
     holding
 }
 
-fn adds_knowledge(holding: &Holding, copy: &CopyRecord) -> bool {
+/// Returns whether a copy is more final than the settled record of its key, if any.
+fn is_more_final(holding: &Holding, copy: &CopyRecord) -> bool {
     match holding.settled.get(&copy.key) {
         Some(settled) if settled.answered => matches!(copy.state, CopyState::Answered(Some(_))),
         Some(_) => matches!(copy.state, CopyState::Answered(_)),
@@ -273,10 +291,11 @@
     }
 }
 
-/// Makes a claim unknown when the object and the copy name different holders.
+/// Marks a claim as unknown if the object and the copy name different holders.
 ///
-/// Either may be the later one, and a release by the earlier must not free it.
-fn without_doubt(holding: &Holding, mut copy: CopyRecord) -> CopyRecord {
+/// Either holder may be the later one, and a `NotRun` report of the earlier must not
+/// free the claim of the later.
+fn resolve_holder_conflict(holding: &Holding, mut copy: CopyRecord) -> CopyRecord {
     let stored = holding.active.get(&copy.key).map(|record| &record.state);
     if let Some(ActiveState::Running { holder: stored, .. }) = stored
         && let CopyState::Running { holder, .. } = &copy.state
@@ -287,7 +306,7 @@
     copy
 }
 
-fn running_copy(record: RunningRecord, passed: TimeSpan) -> CopyRecord {
+fn running_copy(record: RunningRecord, elapsed: TimeSpan) -> CopyRecord {
     CopyRecord {
         key: record.key,
         fingerprint: record.fingerprint,
@@ -295,27 +314,29 @@
         sequence: 0,
         state: CopyState::Running {
             holder: record.holder,
-            time_left: record.time_left.saturating_sub(passed),
+            time_left: record.time_left.saturating_sub(elapsed),
         },
     }
 }
 
+/// Returns a new quarantine if all witnesses are lost, or the rest of the former one.
 fn quarantine(
     former: Option<&ShardObject>,
     read_at: LocalTime,
-    lost: bool,
+    all_lost: bool,
     context: &OwnerContext<'_>,
 ) -> Option<Quarantine> {
     let since = context.now;
-    if lost {
-        let until = since + context.settings.kept_for(false);
+    if all_lost {
+        let until = since + context.settings.retention_of(false);
         return Some(Quarantine { since, until });
     }
-    let left = former.map_or(TimeSpan::ZERO, |former| former.quarantine_left);
-    let until = read_at + left;
-    (left > TimeSpan::ZERO).then_some(Quarantine { since, until })
+    let remaining = former.map_or(TimeSpan::ZERO, |former| former.quarantine_left);
+    let until = read_at + remaining;
+    (remaining > TimeSpan::ZERO).then_some(Quarantine { since, until })
 }
 
+/// Adds a claim of the former term as a change that is not durable yet.
 fn adopt(holding: &mut Holding, copy: CopyRecord, context: &OwnerContext<'_>) {
     let state = match copy.state {
         CopyState::Released => return,
@@ -344,16 +365,16 @@
     holding.pending.insert(copy.key);
 }
 
-/// Chooses replicas among the VMs that enlisted.
+/// Returns the best-ranked enlisted VMs, up to `replica_count`.
 pub(crate) fn choose_replicas(
     enlisted: &BTreeMap<VmId, VmIncarnation>,
     context: &OwnerContext<'_>,
 ) -> Vec<ReplicaSlot> {
-    let chosen = context.others.iter().filter_map(|vm| {
+    let chosen = context.local_peers.iter().filter_map(|vm| {
         enlisted.get(vm).map(|&incarnation| ReplicaSlot {
             vm: vm.clone(),
             incarnation,
-            silent_since: None,
+            unacknowledged_since: None,
         })
     });
     chosen.take(context.settings.replica_count).collect()
--- a/crates/clementinepond_decide/src/claim/reduce.rs
+++ b/crates/clementinepond_decide/src/claim/reduce.rs
@@ -1,6 +1,5 @@
-//! From an event to effects.
+//! Reducer of the claim part: applies an event to the state and returns effects.
 
-use super::asker;
 use super::assignment::{assign, finish_release, release, roster_changed};
 use super::effect::ClaimEffect;
 use super::event::ClaimEvent;
@@ -10,19 +9,20 @@
 use super::owner::{self, Holding, OwnerContext, ShardEntry, ShardTenure};
 use super::record::ClaimTicket;
 use super::replica;
-use super::shard_step::{flush_step, step_down, with_shard};
+use super::requester;
+use super::shard_step::{step_down, tick_step, with_shard};
 use super::state::ClaimState;
 use crate::port::{ReadReply, StoreReply};
 use clementinepond_types::{LocalTime, VmId};
 use std::collections::VecDeque;
 
-/// Applies one event.
+/// Applies one event and returns the effects that the I/O layer must execute.
 pub fn reduce(state: &mut ClaimState, event: ClaimEvent, now: LocalTime) -> Vec<ClaimEffect> {
     let mut queue: VecDeque<ClaimEffect> = apply(state, event, now).into();
     let mut effects = Vec::new();
     while let Some(effect) = queue.pop_front() {
         match effect {
-            // A VM that asks itself needs no network.
+            // Messages of this VM to itself are handled here, without the network.
             ClaimEffect::Send { to, message } if to == state.vm => {
                 queue.extend(received(state, to, message, now));
             }
@@ -34,7 +34,7 @@
 
 fn apply(state: &mut ClaimState, event: ClaimEvent, now: LocalTime) -> Vec<ClaimEffect> {
     match event {
-        ClaimEvent::Ask {
+        ClaimEvent::Requested {
             ticket,
             account,
             route,
@@ -44,13 +44,13 @@
             deadline,
         } => {
             let key = ClaimKey::new(&account, &route, &key);
-            asker::ask(state, ticket, key, fingerprint, date, deadline, now)
+            requester::request(state, ticket, key, fingerprint, date, deadline, now)
         }
-        // The grant alone counts: after it the run may have happened.
+        // From the grant on, the request counts as possibly run.
         ClaimEvent::Dispatched { .. } => Vec::new(),
-        ClaimEvent::Ended { ticket, outcome } => asker::ended(state, ticket, outcome, now),
-        ClaimEvent::NotDispatched { ticket } => asker::not_dispatched(state, ticket, now),
-        ClaimEvent::Abandoned { ticket } => asker::abandoned(state, ticket, now),
+        ClaimEvent::Ended { ticket, outcome } => requester::ended(state, ticket, outcome, now),
+        ClaimEvent::NotDispatched { ticket } => requester::not_dispatched(state, ticket, now),
+        ClaimEvent::Abandoned { ticket } => requester::abandoned(state, ticket, now),
         ClaimEvent::Received { from, message } => received(state, from, message, now),
         ClaimEvent::RosterChanged {
             data_centre,
@@ -84,16 +84,16 @@
     let incarnation = state.incarnation;
     match message {
         ClaimMessage::Answer {
-            incarnation: asked,
+            incarnation: addressee,
             ticket,
             reply,
-        } if asked == incarnation => asker::answered(state, ticket, reply, now),
+        } if addressee == incarnation => requester::answered(state, ticket, reply, now),
         ClaimMessage::ReportAcknowledged {
-            incarnation: asked,
+            incarnation: addressee,
             ticket,
-        } if asked == incarnation => asker::acknowledged(state, ticket),
+        } if addressee == incarnation => requester::acknowledged(state, ticket),
         ClaimMessage::Answer { .. } | ClaimMessage::ReportAcknowledged { .. } => Vec::new(),
-        ClaimMessage::Ask { key, .. } | ClaimMessage::Report { key, .. } => {
+        ClaimMessage::Request { key, .. } | ClaimMessage::Report { key, .. } => {
             let shard = key.shard(state.settings.shard_count);
             owner_received(state, shard, from, message, now)
         }
@@ -101,32 +101,33 @@
         ClaimMessage::Copy {
             shard,
             term,
-            incarnation: meant,
+            incarnation: addressee,
             flushed,
             records,
-        } if meant == incarnation => {
+        } if addressee == incarnation => {
             step_down(state, shard, term, now);
             replica::copy(state, from, shard, term, flushed, records, now)
         }
-        // The owner means an earlier process; this one offers itself.
+        // The copies were meant for an earlier process of this VM; this process
+        // enlists as a replica instead.
         ClaimMessage::Copy { shard, term, .. } => replica::enlist(state, from, shard, term),
         ClaimMessage::Collect {
             shard,
             term,
             former,
-            incarnation: meant,
+            incarnation: addressee,
             after,
         } => {
-            let copies = if meant == incarnation {
+            let copies = if addressee == incarnation {
                 step_down(state, shard, term, now);
                 replica::collect(state, shard, term, former, after, now)
             } else {
-                CollectedCopies::Forgotten
+                CollectedCopies::Lost
             };
             let message = ClaimMessage::Collected {
                 shard,
                 term,
-                incarnation: meant,
+                incarnation: addressee,
                 after,
                 copies,
             };
@@ -172,7 +173,7 @@
             term, incarnation, ..
         } if term == current => {
             tenure.stage.enlisted.insert(from, incarnation);
-            owner::taking_tick(ShardEntry::Collecting(Box::new(tenure)), context)
+            owner::takeover_tick(ShardEntry::Collecting(Box::new(tenure)), context)
         }
         _ => ShardEntry::Collecting(Box::new(tenure)),
     }
@@ -185,13 +186,13 @@
     context: &mut OwnerContext<'_>,
 ) -> Result<ShardEntry, Box<ShardTenure<Holding>>> {
     match message {
-        ClaimMessage::Ask {
+        ClaimMessage::Request {
             holder,
             key,
             fingerprint,
             date,
             time_left,
-        } => owner::ask(
+        } => owner::request(
             &mut tenure,
             holder,
             key,
@@ -267,11 +268,11 @@
     let mut effects = Vec::new();
     let tickets: Vec<ClaimTicket> = state.tickets.keys().copied().collect();
     for ticket in tickets {
-        effects.extend(asker::advance(state, ticket, now));
+        effects.extend(requester::advance(state, ticket, now));
     }
     let shards: Vec<ShardNumber> = state.shards.keys().copied().collect();
     for shard in shards {
-        effects.extend(with_shard(state, shard, now, flush_step));
+        effects.extend(with_shard(state, shard, now, tick_step));
     }
     effects.extend(finish_release(state));
     effects
--- a/crates/clementinepond_decide/src/claim/asker.rs
+++ b/crates/clementinepond_decide/src/claim/requester.rs
@@ -1,4 +1,4 @@
-//! The VM that received a call: asks for its claim and reports its run.
+//! Requests the claims of calls that this VM received and reports their runs.
 
 use super::effect::{ClaimEffect, ClaimRefusal, UnknownReason};
 use super::event::RunOutcome;
@@ -7,11 +7,11 @@
 use super::record::ClaimTicket;
 use super::settings::{ClaimMutation, ClaimSettings};
 use super::state::ClaimState;
-use super::ticket::{Asking, CallTicket, Closed, Granted, Reporting, TicketEntry};
+use super::ticket::{CallTicket, Closed, Granted, Reporting, Requesting, TicketEntry};
 use clementinepond_types::LocalTime;
 
-/// Starts a call.
-pub(crate) fn ask(
+/// Registers a call and sends its claim request.
+pub(crate) fn request(
     state: &mut ClaimState,
     ticket: ClaimTicket,
     key: ClaimKey,
@@ -32,13 +32,13 @@
         fingerprint,
         date,
         deadline: deadline.min(limit),
-        stage: Asking {
+        stage: Requesting {
             next_send: now,
-            patience: now + state.settings.owner_wait,
+            owner_deadline: now + state.settings.owner_wait,
             joined: false,
         },
     };
-    state.tickets.insert(ticket, TicketEntry::Asking(call));
+    state.tickets.insert(ticket, TicketEntry::Requesting(call));
     advance(state, ticket, now)
 }
 
@@ -55,19 +55,19 @@
     }
 }
 
-/// Sends what is due for a call and ends it when its time is over.
+/// Sends the message that is due for a call, or ends the call at its deadline.
 pub(crate) fn advance(
     state: &mut ClaimState,
     ticket: ClaimTicket,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     match state.tickets.get(&ticket) {
-        Some(TicketEntry::Asking(call)) => {
+        Some(TicketEntry::Requesting(call)) => {
             if now >= call.deadline {
-                return give_up(state, ticket, ClaimRefusal::DeadlinePassed, now);
+                return fail(state, ticket, ClaimRefusal::DeadlinePassed, now);
             }
-            if now >= call.stage.patience && !call.stage.joined {
-                return give_up(state, ticket, ClaimRefusal::OwnerUnreachable, now);
+            if now >= call.stage.owner_deadline && !call.stage.joined {
+                return fail(state, ticket, ClaimRefusal::OwnerUnreachable, now);
             }
         }
         Some(TicketEntry::Reporting(call)) if now >= call.stage.until => {
@@ -86,9 +86,9 @@
     let shard_count = state.settings.shard_count;
     let holder = state.holder(ticket);
     let (shard, message) = match state.tickets.get_mut(&ticket) {
-        Some(TicketEntry::Asking(call)) if now >= call.stage.next_send => {
+        Some(TicketEntry::Requesting(call)) if now >= call.stage.next_send => {
             call.stage.next_send = resend_at;
-            let message = ClaimMessage::Ask {
+            let message = ClaimMessage::Request {
                 holder,
                 key: call.key,
                 fingerprint: call.fingerprint,
@@ -132,14 +132,18 @@
     }
 }
 
-fn give_up(
+/// Ends a call that was not granted and notifies the I/O layer.
+///
+/// The outcome is unknown if another call under the key was running, and a refusal
+/// otherwise.
+fn fail(
     state: &mut ClaimState,
     ticket: ClaimTicket,
     reason: ClaimRefusal,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     let joined = match state.tickets.get(&ticket) {
-        Some(TicketEntry::Asking(call)) => call.stage.joined,
+        Some(TicketEntry::Requesting(call)) => call.stage.joined,
         _ => return Vec::new(),
     };
     let end = if joined {
@@ -155,7 +159,7 @@
     effects
 }
 
-/// Ends a call that ran nothing; reports it from `report_at` on.
+/// Closes a call that did not run; reports `NotRun` from `report_at` on.
 fn close(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -167,7 +171,7 @@
         until: now + state.settings.report_limit,
     };
     let closed = match state.tickets.remove(&ticket) {
-        Some(TicketEntry::Asking(call)) => call.enter(stage),
+        Some(TicketEntry::Requesting(call)) => call.enter(stage),
         Some(TicketEntry::Granted(call)) => call.enter(stage),
         Some(TicketEntry::Closed(call)) => call.enter(stage),
         Some(other @ TicketEntry::Reporting(_)) => {
@@ -180,7 +184,7 @@
     send_due(state, ticket, now)
 }
 
-/// Takes the owner's answer to a call.
+/// Processes the owner's answer to a claim request.
 pub(crate) fn answered(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -188,7 +192,7 @@
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
     match state.tickets.get_mut(&ticket) {
-        Some(TicketEntry::Asking(call)) => {
+        Some(TicketEntry::Requesting(call)) => {
             if reply == OwnerReply::Joined {
                 call.stage.joined = true;
                 return Vec::new();
@@ -221,11 +225,11 @@
 }
 
 fn grant(state: &mut ClaimState, ticket: ClaimTicket, now: LocalTime) -> Vec<ClaimEffect> {
-    let Some(TicketEntry::Asking(call)) = state.tickets.get(&ticket) else {
+    let Some(TicketEntry::Requesting(call)) = state.tickets.get(&ticket) else {
         return Vec::new();
     };
     if now >= call.deadline {
-        return give_up(state, ticket, ClaimRefusal::DeadlinePassed, now);
+        return fail(state, ticket, ClaimRefusal::DeadlinePassed, now);
     }
     let deadline = call.deadline;
     let call = call.clone().enter(Granted);
@@ -239,13 +243,13 @@
     end: ClaimEffect,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
-    // The owner holds nothing for this call; only a late grant needs a report.
+    // The owner holds no claim for this call; only a late grant needs a report.
     let mut effects = close(state, ticket, LocalTime::NEVER, now);
     effects.push(end);
     effects
 }
 
-/// Takes the end of a run.
+/// Processes the end of a run and starts its report.
 pub(crate) fn ended(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -271,7 +275,7 @@
     send_due(state, ticket, now)
 }
 
-/// Takes the edge's word that a granted call ran nowhere.
+/// Processes the I/O layer's notice that a granted call did not run.
 pub(crate) fn not_dispatched(
     state: &mut ClaimState,
     ticket: ClaimTicket,
@@ -283,16 +287,16 @@
     }
 }
 
-/// Ends a call whose caller went away before the grant.
+/// Ends a call whose caller disconnected before the grant.
 pub(crate) fn abandoned(
     state: &mut ClaimState,
     ticket: ClaimTicket,
     now: LocalTime,
 ) -> Vec<ClaimEffect> {
-    give_up(state, ticket, ClaimRefusal::Abandoned, now)
+    fail(state, ticket, ClaimRefusal::Abandoned, now)
 }
 
-/// Takes the owner's word that a report is durable.
+/// Stops resending a report that the owner acknowledged.
 pub(crate) fn acknowledged(state: &mut ClaimState, ticket: ClaimTicket) -> Vec<ClaimEffect> {
     match state.tickets.get_mut(&ticket) {
         Some(TicketEntry::Reporting(_)) => {
--- a/crates/clementinepond_decide/src/claim/shard_step.rs
+++ b/crates/clementinepond_decide/src/claim/shard_step.rs
@@ -1,4 +1,4 @@
-//! One step on one shard, and what becomes of the claims of a lost shard.
+//! Steps on owned shards, and keeping the claims of a shard whose ownership was lost.
 
 use super::effect::ClaimEffect;
 use super::key::ShardNumber;
@@ -8,7 +8,11 @@
 use super::state::ClaimState;
 use clementinepond_types::{LocalTime, VmId};
 
-/// Runs one step on a shard and puts its next stage back.
+/// Runs one step on a shard and stores the resulting stage.
+///
+/// A step returns its tenure as an error when the VM lost the ownership. The claims
+/// are then kept as a replica's, and the takeover starts again if the roster still
+/// assigns the shard to this VM.
 pub(crate) fn with_shard(
     state: &mut ClaimState,
     shard: ShardNumber,
@@ -21,10 +25,10 @@
     let Some(entry) = state.shards.remove(&shard) else {
         return Vec::new();
     };
-    let others = others(state, shard);
-    let strangers = strangers(state);
+    let local_peers = local_peers(state, shard);
+    let remote_peers = remote_peers(state);
     let epoch = state
-        .home_roster()
+        .local_roster()
         .map(|roster| roster.epoch)
         .unwrap_or_default();
     let mut context = OwnerContext {
@@ -33,8 +37,8 @@
         incarnation: state.incarnation,
         writes: &mut state.writes,
         epoch,
-        others,
-        strangers,
+        local_peers,
+        remote_peers,
         now,
         effects: Vec::new(),
     };
@@ -42,7 +46,7 @@
     let entry = match outcome {
         Ok(entry) => Ok(entry),
         Err(tenure) => {
-            let next = owner::deposed(&tenure, &mut context);
+            let next = owner::restart_takeover(&tenure, &mut context);
             Err((tenure, next))
         }
     };
@@ -50,7 +54,7 @@
     let entry = match entry {
         Ok(entry) => entry,
         Err((tenure, next)) => {
-            surrender(state, *tenure, 0, now);
+            retain_as_replica(state, *tenure, 0, now);
             if state.releasing || state.owner(shard).as_ref() != Some(&state.vm) {
                 return effects;
             }
@@ -60,35 +64,43 @@
     if let ShardEntry::Holding(tenure) = &entry
         && tenure.stage.activated
     {
-        // The object holds what this VM kept for the former owner.
+        // The stored object contains the copies that this VM held for the former
+        // owner.
         state.replicas.remove(&shard);
     }
     state.shards.insert(shard, entry);
     effects
 }
 
-fn others(state: &ClaimState, shard: ShardNumber) -> Vec<VmId> {
+/// Returns the other VMs of the data centre, ranked for the shard.
+fn local_peers(state: &ClaimState, shard: ShardNumber) -> Vec<VmId> {
     let members = state
-        .home_roster()
+        .local_roster()
         .map_or(&[][..], |roster| &roster.members);
     let mut ranked = rank_members(shard, members);
     ranked.retain(|vm| *vm != state.vm);
     ranked
 }
 
-fn strangers(state: &ClaimState) -> Vec<VmId> {
+/// Returns the known VMs of all other data centres.
+fn remote_peers(state: &ClaimState) -> Vec<VmId> {
     let rosters = state.rosters.iter();
-    let foreign = rosters.filter(|(data_centre, _)| **data_centre != state.data_centre);
-    foreign
+    let remote = rosters.filter(|(data_centre, _)| **data_centre != state.data_centre);
+    remote
         .flat_map(|(_, roster)| roster.members.iter().cloned())
         .collect()
 }
 
-/// Keeps the claims of a lost shard for its next owner.
-fn surrender(state: &mut ClaimState, tenure: ShardTenure<Holding>, promised: u64, now: LocalTime) {
+/// Keeps the claims of a lost shard as copies for its next owner.
+fn retain_as_replica(
+    state: &mut ClaimState,
+    tenure: ShardTenure<Holding>,
+    promised: u64,
+    now: LocalTime,
+) {
     let stage = tenure.stage;
     if !stage.activated {
-        // Nothing was granted by copies in this term.
+        // No claim of this term was granted, as its object is not known to be stored.
         return;
     }
     let records = stage
@@ -110,7 +122,7 @@
     state.replicas.insert(tenure.shard, replica);
 }
 
-/// Stops granting in a shard that a newer owner takes over.
+/// Ends the ownership of a shard that an owner of a newer term takes over.
 pub(crate) fn step_down(state: &mut ClaimState, shard: ShardNumber, term: u64, now: LocalTime) {
     let Some(ShardEntry::Holding(tenure)) = state.shards.get(&shard) else {
         return;
@@ -119,11 +131,12 @@
         return;
     }
     if let Some(ShardEntry::Holding(tenure)) = state.shards.remove(&shard) {
-        surrender(state, *tenure, term, now);
+        retain_as_replica(state, *tenure, term, now);
     }
 }
 
-pub(crate) fn flush_step(
+/// Expires records, resends copies and writes the object, or continues the takeover.
+pub(crate) fn tick_step(
     entry: ShardEntry,
     context: &mut OwnerContext<'_>,
 ) -> Result<ShardEntry, Box<ShardTenure<Holding>>> {
@@ -134,6 +147,6 @@
             owner::flush(&mut tenure, context);
             ShardEntry::Holding(tenure)
         }
-        other => owner::taking_tick(other, context),
+        other => owner::takeover_tick(other, context),
     })
 }
--- a/crates/clementinepond_decide/src/claim/state.rs
+++ b/crates/clementinepond_decide/src/claim/state.rs
@@ -1,4 +1,4 @@
-//! What one VM remembers about claims.
+//! State of the claim part of one VM.
 
 use super::key::ShardNumber;
 use super::owner::ShardEntry;
@@ -10,49 +10,53 @@
 use clementinepond_types::{DataCentreId, Epoch, VmId};
 use std::collections::BTreeMap;
 
-/// Members of one data centre's roster.
+/// Latest known roster of one data centre.
 #[derive(Debug, Clone)]
 pub(crate) struct RosterView {
     pub(crate) epoch: Epoch,
     pub(crate) members: Vec<VmId>,
 }
 
-/// Numbers for metrics and the operator's view.
+/// Counts of calls, shards and records on one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimCounts {
-    /// Calls that wait for an answer of an owner.
-    pub asking: usize,
-    /// Calls that hold a grant.
+    /// Number of calls that wait for the owner's answer.
+    pub requesting: usize,
+    /// Number of calls that hold a grant and have not ended.
     pub granted: usize,
-    /// Reports that are not confirmed.
+    /// Number of ended runs whose report is not acknowledged.
     pub reporting: usize,
-    /// Shards that this VM owns and answers for.
+    /// Number of shards that this VM serves as owner.
     pub held_shards: usize,
-    /// Shards that this VM is taking over.
-    pub taking_shards: usize,
-    /// Claims in the held shards.
+    /// Number of shards that this VM is taking over.
+    pub takeover_shards: usize,
+    /// Number of claims in the held shards.
     pub records: usize,
-    /// Claims that are copied here for other owners.
+    /// Number of claims that this VM holds as a replica.
     pub copies: usize,
 }
 
-/// Claims of one VM.
+/// State of the claim part of one VM: its calls, owned shards and replicas.
 #[derive(Debug, Clone)]
 pub struct ClaimState {
     pub(crate) settings: ClaimSettings,
     pub(crate) vm: VmId,
     pub(crate) data_centre: DataCentreId,
     pub(crate) incarnation: VmIncarnation,
+    /// Number of the last write of a shard object by this process.
     pub(crate) writes: u64,
     pub(crate) rosters: BTreeMap<DataCentreId, RosterView>,
     pub(crate) tickets: BTreeMap<ClaimTicket, TicketEntry>,
+    /// Shards that this VM owns or takes over.
     pub(crate) shards: BTreeMap<ShardNumber, ShardEntry>,
+    /// Copies held for other owners.
     pub(crate) replicas: BTreeMap<ShardNumber, ReplicaShard>,
+    /// Whether this VM hands over its shards and takes no new ones.
     pub(crate) releasing: bool,
 }
 
 impl ClaimState {
-    /// Starts without any claim; `incarnation` is drawn at random.
+    /// Creates an empty state; `incarnation` must be drawn at random for each process.
     #[must_use]
     pub fn new(
         settings: ClaimSettings,
@@ -74,15 +78,15 @@
         }
     }
 
-    /// Returns numbers for metrics.
+    /// Returns the counts of calls, shards and records.
     #[must_use]
     pub fn counts(&self) -> ClaimCounts {
         let mut counts = ClaimCounts {
-            asking: 0,
+            requesting: 0,
             granted: 0,
             reporting: 0,
             held_shards: 0,
-            taking_shards: 0,
+            takeover_shards: 0,
             records: 0,
             copies: self
                 .replicas
@@ -92,7 +96,7 @@
         };
         for ticket in self.tickets.values() {
             match ticket {
-                TicketEntry::Asking(_) => counts.asking += 1,
+                TicketEntry::Requesting(_) => counts.requesting += 1,
                 TicketEntry::Granted(_) => counts.granted += 1,
                 TicketEntry::Reporting(_) => counts.reporting += 1,
                 TicketEntry::Closed(_) => {}
@@ -103,12 +107,13 @@
                 counts.held_shards += 1;
                 counts.records += tenure.stage.active.len() + tenure.stage.settled.len();
             } else {
-                counts.taking_shards += 1;
+                counts.takeover_shards += 1;
             }
         }
         counts
     }
 
+    /// Returns the identity under which a call of this process requests its claim.
     pub(crate) fn holder(&self, ticket: ClaimTicket) -> RunHolder {
         RunHolder {
             vm: self.vm.clone(),
@@ -117,7 +122,7 @@
         }
     }
 
-    /// Returns the owner of a shard, as far as this VM knows.
+    /// Returns the owner of a shard according to the latest known roster.
     pub(crate) fn owner(&self, shard: ShardNumber) -> Option<VmId> {
         let data_centre = shard_data_centre(shard, &self.settings.data_centres)?;
         let roster = self.rosters.get(data_centre)?;
@@ -125,11 +130,11 @@
     }
 
     /// Returns the roster of this VM's data centre.
-    pub(crate) fn home_roster(&self) -> Option<&RosterView> {
+    pub(crate) fn local_roster(&self) -> Option<&RosterView> {
         self.rosters.get(&self.data_centre)
     }
 
-    /// Returns the shards that this VM's roster gives to it.
+    /// Returns the shards that this VM owns by the latest roster; none while releasing.
     pub(crate) fn assigned_shards(&self) -> Vec<ShardNumber> {
         if self.releasing {
             return Vec::new();
--- a/crates/clementinepond_decide/src/configuration/content.rs
+++ b/crates/clementinepond_decide/src/configuration/content.rs
@@ -1,7 +1,7 @@
-//! Taking in versions and passing them on.
+//! Versions of the configuration: adopting, applying and forwarding them.
 
-use super::spread::{branches, rotated};
-use super::state::AskedVersion;
+use super::state::RequestedVersion;
+use super::tree::{branches, rotated};
 use super::{
     ConfigurationDigest, ConfigurationEffect, ConfigurationMessage, ConfigurationMutation,
     ConfigurationState, ContentDelta, ContentDigest, ContentUpdate,
@@ -9,7 +9,7 @@
 use crate::port::VersionedObject;
 use clementinepond_types::{LocalTime, ObjectVersion, VmId};
 
-/// Takes in a version, unless it is not newer; returns whether it was.
+/// Adopts a version if it is newer than the newest one; returns whether it was adopted.
 pub(super) fn adopt(state: &mut ConfigurationState, object: VersionedObject<Box<str>>) -> bool {
     let is_newer = object.version > state.newest_version();
     if !is_newer && !state.mutated(ConfigurationMutation::AcceptOlder) {
@@ -24,7 +24,8 @@
     true
 }
 
-/// Offers the newest version to the edge, once.
+/// Emits `Apply` for the newest version, once per version. After a start it waits until
+/// the platform has answered or `boot_wait` has passed.
 pub(super) fn offer(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -32,7 +33,7 @@
 ) {
     let waits = state.booting
         && now < state.boot_until
-        && !state.mutated(ConfigurationMutation::ApplyFirstHeard);
+        && !state.mutated(ConfigurationMutation::ApplyFirstReceived);
     let Some(object) = &state.newest else {
         return;
     };
@@ -47,16 +48,17 @@
     });
 }
 
-/// Sends the newest version to all members of the data centre.
+/// Sends the newest version to all members of the data centre through a tree.
 pub(super) fn push_to_members(state: &ConfigurationState, effects: &mut Vec<ConfigurationEffect>) {
-    let receivers = rotated(&state.local, &state.own, state.newest_version());
+    let receivers = rotated(&state.local, &state.own_vm, state.newest_version());
     let base = state.history.front().map(|object| object.version);
     if let Some(update) = update_from(state, base) {
-        pass_on(state, state.newest_version(), &update, &receivers, effects);
+        forward(state, state.newest_version(), &update, &receivers, effects);
     }
 }
 
-fn pass_on(
+/// Sends an update to receivers through a tree.
+fn forward(
     state: &ConfigurationState,
     version: ObjectVersion,
     update: &ContentUpdate,
@@ -75,7 +77,8 @@
     }
 }
 
-/// Returns the newest version, as a difference where the base is kept.
+/// Returns the update to the newest version: a difference if the base is in the history,
+/// the complete text otherwise.
 fn update_from(state: &ConfigurationState, base: Option<ObjectVersion>) -> Option<ContentUpdate> {
     let newest = state.newest.as_ref()?;
     let delta = state
@@ -92,7 +95,9 @@
     })
 }
 
-/// Takes in a version that a peer sent, and passes it on as it came.
+/// Processes an update from a peer, and forwards it unchanged.
+///
+/// Requests the version again if its text cannot be obtained from the update.
 pub(super) fn update_received(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -101,7 +106,7 @@
     subtree: &[VmId],
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    pass_on(state, version, update, subtree, effects);
+    forward(state, version, update, subtree, effects);
     let is_older = version <= state.newest_version();
     if is_older && !state.mutated(ConfigurationMutation::AcceptOlder) {
         return;
@@ -119,13 +124,14 @@
         version,
         value: text,
     };
-    let is_news = adopt(state, object);
-    if is_news && subtree.is_empty() && state.relay {
+    let is_adopted = adopt(state, object);
+    if is_adopted && subtree.is_empty() && state.relay {
         push_to_members(state, effects);
     }
 }
 
-/// Returns the own version, unless a difference to it has just failed.
+/// Returns the own version as the base of a new request, if the update was a difference
+/// to another version. Otherwise `None` requests the complete text.
 fn usable_base(state: &ConfigurationState, update: &ContentUpdate) -> Option<ObjectVersion> {
     let own = state.newest.as_ref()?.version;
     match update {
@@ -134,13 +140,14 @@
     }
 }
 
-/// Returns the text of an update, when it matches its digest.
+/// Returns the text of an update if it matches its digest and its base is the newest
+/// version.
 fn text_of(state: &ConfigurationState, update: &ContentUpdate) -> Option<Box<str>> {
     match update {
         ContentUpdate::Whole { text, digest } => {
-            let is_sound = ContentDigest::of(text) == *digest
+            let is_intact = ContentDigest::of(text) == *digest
                 || state.mutated(ConfigurationMutation::SkipDigestCheck);
-            is_sound.then(|| text.clone())
+            is_intact.then(|| text.clone())
         }
         ContentUpdate::Delta(delta) => {
             let newest = state.newest.as_ref()?;
@@ -152,7 +159,7 @@
     }
 }
 
-/// Answers a peer that lacks the newest version.
+/// Sends the newest version to a peer that requested it, unless the peer has it.
 pub(super) fn answer_request(
     state: &ConfigurationState,
     from: VmId,
@@ -174,7 +181,7 @@
     }
 }
 
-/// Compares a peer's digest and asks for what is lacking.
+/// Requests a peer's version if its digest announces a newer one.
 pub(super) fn compare_versions(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -185,16 +192,16 @@
     if digest.version == state.newest_version() {
         merge_age(state, digest.age_seconds, now);
     }
-    let is_asked = state
-        .asked
-        .is_some_and(|asked| digest.version <= asked.version && now < asked.retry);
-    let is_lacking = digest.version > state.newest_version();
-    if !is_lacking || is_asked || state.mutated(ConfigurationMutation::SkipRepair) {
+    let is_requested = state
+        .requested
+        .is_some_and(|requested| digest.version <= requested.version && now < requested.retry_at);
+    let is_behind = digest.version > state.newest_version();
+    if !is_behind || is_requested || state.mutated(ConfigurationMutation::SkipRepair) {
         return;
     }
-    state.asked = Some(AskedVersion {
+    state.requested = Some(RequestedVersion {
         version: digest.version,
-        retry: now + state.settings.retry_period,
+        retry_at: now + state.settings.retry_period,
     });
     effects.push(ConfigurationEffect::Send {
         to: from.clone(),
@@ -204,11 +211,12 @@
     });
 }
 
+/// Takes over a peer's confirmation of the newest version if it is later.
 fn merge_age(state: &mut ConfigurationState, age: Option<u16>, now: LocalTime) {
     let Some(age) = age else {
         return;
     };
-    // One second more than told, since the peer rounds down.
+    // The peer rounds down to seconds, so 1 s is added.
     let micros = (u64::from(age) + 1) * 1_000_000;
     let at = LocalTime::from_micros(now.micros().saturating_sub(micros));
     state.confirmed = state.confirmed.max(Some(at));
--- a/crates/clementinepond_decide/src/configuration/reduce.rs
+++ b/crates/clementinepond_decide/src/configuration/reduce.rs
@@ -1,4 +1,5 @@
-//! The reducer of the configuration part.
+//! Reducer of the configuration part: applies an event to the state and returns
+//! effects.
 
 use super::content::{answer_request, compare_versions, offer, update_received};
 use super::watch::{content_read, content_watched, drive_calls, record_watched};
@@ -7,10 +8,11 @@
 };
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan, VmId};
 
-/// Least step by which the acceptance of keys is extended.
-const ACCEPT_STEP: TimeSpan = TimeSpan::from_secs(1);
+/// Smallest extension of the key acceptance that is announced; limits the number of
+/// `AcceptKeys` effects.
+const MIN_KEY_ACCEPTANCE_EXTENSION: TimeSpan = TimeSpan::from_secs(1);
 
-/// Takes in one event and returns what the edge must do.
+/// Applies one event and returns the effects that the I/O layer must execute.
 pub fn reduce(
     state: &mut ConfigurationState,
     event: ConfigurationEvent,
@@ -36,11 +38,11 @@
             withdrawal::drive_record(state, now, effects);
         }
         ConfigurationEvent::Received { from, message } => {
-            state.note_contact(now);
+            state.record_contact(now);
             received(state, from, message, effects);
         }
         ConfigurationEvent::PeerDigest { from, digest } => {
-            state.note_contact(now);
+            state.record_contact(now);
             compare_versions(state, &from, &digest, now, effects);
             withdrawal::compare(state, &from, &digest, now, effects);
         }
@@ -62,11 +64,11 @@
         ConfigurationEvent::Refused { version } => state.refused = state.refused.max(Some(version)),
         ConfigurationEvent::KeysChecked {
             version,
-            asked,
+            checked,
             present,
-        } => withdrawal::keys_checked(state, version, &asked, &present),
-        ConfigurationEvent::WithdrawalAsked { request, keys } => {
-            withdrawal::asked(state, request, keys, now, effects);
+        } => withdrawal::keys_checked(state, version, &checked, &present),
+        ConfigurationEvent::WithdrawalRequested { request, keys } => {
+            withdrawal::requested(state, request, keys, now, effects);
         }
     }
 }
@@ -87,8 +89,8 @@
         ConfigurationMessage::Withdrawals { entries, subtree } => {
             withdrawal::received(state, from, &entries, &subtree, effects);
         }
-        ConfigurationMessage::WithdrawalsKept { entries } => {
-            withdrawal::kept(state, &from, &entries);
+        ConfigurationMessage::WithdrawalsAcknowledged { entries } => {
+            withdrawal::copy_confirmed(state, &from, &entries);
         }
         ConfigurationMessage::WithdrawalsRequest { groups } => {
             withdrawal::answer_request(state, from, &groups, effects);
@@ -105,7 +107,7 @@
     withdrawal::check_keys(state, effects);
 }
 
-/// Announces the digest and the acceptance of keys when they changed.
+/// Announces the digest when it changed, and the key acceptance when it is extended.
 fn announce(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -117,10 +119,10 @@
         effects.push(ConfigurationEffect::DigestChanged(digest));
     }
     let until = state.keys_until();
-    let is_later = state
-        .accepted_until
-        .is_none_or(|accepted| accepted + ACCEPT_STEP <= until && accepted != until);
-    if is_later {
+    let is_extended = state.accepted_until.is_none_or(|accepted| {
+        accepted + MIN_KEY_ACCEPTANCE_EXTENSION <= until && accepted != until
+    });
+    if is_extended {
         state.accepted_until = Some(until);
         effects.push(ConfigurationEffect::AcceptKeys { deadline: until });
     }
--- a/crates/clementinepond_decide/src/configuration/watch.rs
+++ b/crates/clementinepond_decide/src/configuration/watch.rs
@@ -1,4 +1,4 @@
-//! The relay's watches, and the read after a start.
+//! Platform calls: the relay's watches, and the read after a start.
 
 use super::content::{adopt, push_to_members};
 use super::withdrawal::adopt_record;
@@ -7,54 +7,54 @@
 use crate::roster::WatchAnswer;
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan};
 
-/// Time after which a watch without answer counts as lost.
-const WATCH_LIMIT: TimeSpan = TimeSpan::from_secs(90);
+/// Time after which an unanswered list or watch counts as lost.
+const WATCH_TIMEOUT: TimeSpan = TimeSpan::from_secs(90);
 
-/// Call to the platform.
+/// State of one kind of platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CallStage {
-    /// No call is out.
+pub(super) enum PlatformCall {
+    /// No call is outstanding.
     Idle {
-        /// When the next call may go out.
-        retry: LocalTime,
+        /// When the next call may be sent.
+        retry_at: LocalTime,
     },
-    /// A call is out.
+    /// A call is outstanding.
     Waiting {
-        /// When it counts as lost.
-        lapse: LocalTime,
+        /// When the call counts as lost.
+        expires_at: LocalTime,
     },
 }
 
-impl CallStage {
-    /// Returns whether a call may go out.
+impl PlatformCall {
+    /// Returns whether the next call may be sent.
     pub(super) fn is_due(self, now: LocalTime) -> bool {
-        let (Self::Idle { retry: due } | Self::Waiting { lapse: due }) = self;
+        let (Self::Idle { retry_at: due } | Self::Waiting { expires_at: due }) = self;
         now >= due
     }
 }
 
-/// Starts the calls that are due.
+/// Sends the calls that are due.
 pub(super) fn drive_calls(
     state: &mut ConfigurationState,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     if state.booting && !state.read_missing && state.read.is_due(now) {
-        state.read = CallStage::Waiting {
-            lapse: now + state.settings.answer_limit,
+        state.read = PlatformCall::Waiting {
+            expires_at: now + state.settings.answer_limit,
         };
         effects.push(ConfigurationEffect::ReadContent);
     }
     if !state.relay {
         return;
     }
-    let lapse = now + WATCH_LIMIT;
+    let expires_at = now + WATCH_TIMEOUT;
     if state.content_watch.is_due(now) {
-        state.content_watch = CallStage::Waiting { lapse };
+        state.content_watch = PlatformCall::Waiting { expires_at };
         effects.push(watch_content(state));
     }
     if state.record_watch.is_due(now) {
-        state.record_watch = CallStage::Waiting { lapse };
+        state.record_watch = PlatformCall::Waiting { expires_at };
         effects.push(watch_record(state));
     }
 }
@@ -77,42 +77,43 @@
     }
 }
 
-/// Takes in the answer to a read of the configuration.
+/// Processes the answer to the read of the configuration after a start.
 pub(super) fn content_read(
     state: &mut ConfigurationState,
     reply: ReadReply<Box<str>>,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match reply {
+    let retry_at = match reply {
         ReadReply::Found(object) => {
-            state.note_contact(now);
-            // The platform's answer is newer than any peer's.
+            state.record_contact(now);
+            // The platform holds the newest version, so peers need not be awaited.
             state.boot_until = state.boot_until.min(now);
-            take_from_platform(state, object, now, effects);
+            adopt_from_platform(state, object, now, effects);
             now
         }
         ReadReply::Missing => {
-            state.note_contact(now);
-            // The relay's watch brings the first version.
+            state.record_contact(now);
+            // The first version will arrive through the relay's watch.
             state.read_missing = true;
             now
         }
         ReadReply::Unavailable if now < state.boot_until => now + state.settings.retry_period,
         ReadReply::Unavailable => now + state.settings.answer_limit,
     };
-    state.read = CallStage::Idle { retry };
+    state.read = PlatformCall::Idle { retry_at };
 }
 
-fn take_from_platform(
+/// Adopts a version from the platform; a relay sends it to its data centre.
+fn adopt_from_platform(
     state: &mut ConfigurationState,
     object: VersionedObject<Box<str>>,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let version = object.version;
-    let is_news = adopt(state, object);
-    if is_news && state.relay {
+    let is_adopted = adopt(state, object);
+    if is_adopted && state.relay {
         push_to_members(state, effects);
     }
     if version == state.newest_version() {
@@ -120,21 +121,21 @@
     }
 }
 
-/// Takes in the answer to a watch of the configuration.
+/// Processes the answer to a list or watch of the configuration.
 pub(super) fn content_watched(
     state: &mut ConfigurationState,
     answer: WatchAnswer<Box<str>>,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match answer {
+    let retry_at = match answer {
         WatchAnswer::Changes { version, changes } => {
-            state.note_contact(now);
+            state.record_contact(now);
             let last = changes.into_iter().rev().find_map(|change| change.object);
             if let Some(object) = last {
-                take_from_platform(state, object, now, effects);
+                adopt_from_platform(state, object, now, effects);
             }
-            note_watched(state, version, now);
+            confirm_watched_version(state, version, now);
             now
         }
         WatchAnswer::TooOld => {
@@ -143,10 +144,11 @@
         }
         WatchAnswer::Unavailable => now + state.settings.retry_period,
     };
-    state.content_watch = CallStage::Idle { retry };
+    state.content_watch = PlatformCall::Idle { retry_at };
 }
 
-fn note_watched(state: &mut ConfigurationState, version: ObjectVersion, now: LocalTime) {
+/// Advances the watch, and confirms the newest version if no larger one exists.
+fn confirm_watched_version(state: &mut ConfigurationState, version: ObjectVersion, now: LocalTime) {
     state.content_from = state.content_from.max(version);
     state.content_too_old = false;
     if state.newest.is_some() && state.newest_version() <= version {
@@ -154,16 +156,16 @@
     }
 }
 
-/// Takes in the answer to a watch of the withdrawal record.
+/// Processes the answer to a list or watch of the withdrawal record.
 pub(super) fn record_watched(
     state: &mut ConfigurationState,
     answer: WatchAnswer<WithdrawalRecord>,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match answer {
+    let retry_at = match answer {
         WatchAnswer::Changes { version, changes } => {
-            state.note_contact(now);
+            state.record_contact(now);
             state.record_from = state.record_from.max(version);
             state.record_too_old = false;
             for object in changes.into_iter().filter_map(|change| change.object) {
@@ -177,5 +179,5 @@
         }
         WatchAnswer::Unavailable => now + state.settings.retry_period,
     };
-    state.record_watch = CallStage::Idle { retry };
+    state.record_watch = PlatformCall::Idle { retry_at };
 }
--- a/crates/clementinepond_decide/src/configuration/withdrawal.rs
+++ b/crates/clementinepond_decide/src/configuration/withdrawal.rs
@@ -1,11 +1,11 @@
-//! Withdrawals: taking in, passing on, recording and forgetting.
+//! Withdrawn keys: receiving, forwarding, recording and removing them.
 //!
-//! A key is forgotten only when a configuration is in force that lacks it and
-//! is newer than the record that holds it. Whoever hears from this VM then
-//! hears of that configuration too, so the key stays refused.
+//! A withdrawn key is removed from the set only when the configuration in force
+//! lacks the key and is newer than the record that contains it. The digest of this
+//! VM then announces that configuration too, so peers keep refusing the key.
 
-use super::spread::{branches, rotated};
-use super::watch::CallStage;
+use super::tree::{branches, rotated};
+use super::watch::PlatformCall;
 use super::{
     ConfigurationDigest, ConfigurationEffect, ConfigurationMessage, ConfigurationMutation,
     ConfigurationState, WithdrawalEntry, WithdrawalRecord, WithdrawnDigest,
@@ -14,16 +14,17 @@
 use clementinepond_types::{KeyDigest, LocalTime, ObjectVersion, VmId};
 use std::collections::BTreeSet;
 
-/// Operator's request that waits for copies on other VMs.
+/// Operator's withdrawal that waits for acknowledgements of other VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct WaitingRequest {
+pub(super) struct PendingWithdrawal {
     keys: BTreeSet<KeyDigest>,
+    /// VMs that acknowledged all keys of the request.
     copies: BTreeSet<VmId>,
     deadline: LocalTime,
 }
 
-/// Takes in an operator's request.
-pub(super) fn asked(
+/// Processes an operator's withdrawal request.
+pub(super) fn requested(
     state: &mut ConfigurationState,
     request: u64,
     keys: Vec<KeyDigest>,
@@ -44,16 +45,16 @@
         })
         .collect();
     merge(state, &entries, effects);
-    spread_everywhere(state, &entries, effects);
-    let waiting = WaitingRequest {
+    send_to_all(state, &entries, effects);
+    let pending = PendingWithdrawal {
         keys: keys.into_iter().collect(),
         copies: BTreeSet::new(),
         deadline: now + state.settings.copy_wait,
     };
-    state.waiting.insert(request, waiting);
+    state.pending_withdrawals.insert(request, pending);
 }
 
-/// Adds entries; returns those that changed the set.
+/// Merges entries into the set of withdrawn keys; returns those that changed it.
 fn merge(
     state: &mut ConfigurationState,
     entries: &[WithdrawalEntry],
@@ -75,31 +76,33 @@
     changed
 }
 
-/// Sends entries to every VM: one branch a remote data centre, the rest here.
-fn spread_everywhere(
+/// Sends entries to every VM: through a tree of the local members, and through one
+/// branch per remote data centre.
+fn send_to_all(
     state: &ConfigurationState,
     entries: &[WithdrawalEntry],
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    pass_on(state, entries, &state.local, effects);
+    forward(state, entries, &state.local, effects);
     for members in state.remote.values() {
-        let receivers = rotated(members, &state.own, state.newest_version());
+        let receivers = rotated(members, &state.own_vm, state.newest_version());
         for branch in branches(&receivers, 1) {
             send(branch.to, entries, branch.subtree, effects);
         }
     }
 }
 
-fn pass_on(
+/// Sends entries to receivers through a tree.
+fn forward(
     state: &ConfigurationState,
     entries: &[WithdrawalEntry],
     receivers: &[VmId],
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    if state.mutated(ConfigurationMutation::KeepWithdrawals) {
+    if state.mutated(ConfigurationMutation::SkipWithdrawalForwarding) {
         return;
     }
-    let receivers = rotated(receivers, &state.own, state.newest_version());
+    let receivers = rotated(receivers, &state.own_vm, state.newest_version());
     for branch in branches(&receivers, state.settings.fan_out) {
         send(branch.to, entries, branch.subtree, effects);
     }
@@ -120,7 +123,7 @@
     });
 }
 
-/// Takes in withdrawn keys that a peer sent.
+/// Processes withdrawn keys that a peer sent: merges, forwards and acknowledges them.
 pub(super) fn received(
     state: &mut ConfigurationState,
     from: VmId,
@@ -129,45 +132,49 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     merge(state, entries, effects);
-    pass_on(state, entries, subtree, effects);
+    forward(state, entries, subtree, effects);
     effects.push(ConfigurationEffect::Send {
         to: from,
-        message: ConfigurationMessage::WithdrawalsKept {
+        message: ConfigurationMessage::WithdrawalsAcknowledged {
             entries: entries.to_vec(),
         },
     });
 }
 
-/// Counts a copy on another VM.
-pub(super) fn kept(state: &mut ConfigurationState, from: &VmId, entries: &[WithdrawalEntry]) {
-    let kept: BTreeSet<KeyDigest> = entries.iter().map(|entry| entry.key).collect();
-    for waiting in state.waiting.values_mut() {
-        if waiting.keys.is_subset(&kept) {
-            waiting.copies.insert(from.clone());
+/// Counts the acknowledgement of another VM for each request whose keys it covers.
+pub(super) fn copy_confirmed(
+    state: &mut ConfigurationState,
+    from: &VmId,
+    entries: &[WithdrawalEntry],
+) {
+    let acknowledged: BTreeSet<KeyDigest> = entries.iter().map(|entry| entry.key).collect();
+    for request in state.pending_withdrawals.values_mut() {
+        if request.keys.is_subset(&acknowledged) {
+            request.copies.insert(from.clone());
         }
     }
 }
 
-/// Answers operators whose requests have copies enough or waited enough.
+/// Answers requests that have enough acknowledgements or have reached their deadline.
 pub(super) fn answer_operators(
     state: &mut ConfigurationState,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let copies = state.settings.copies;
-    state.waiting.retain(|&request, waiting| {
-        let is_done = waiting.copies.len() >= copies || now >= waiting.deadline;
+    state.pending_withdrawals.retain(|&request, pending| {
+        let is_done = pending.copies.len() >= copies || now >= pending.deadline;
         if is_done {
             effects.push(ConfigurationEffect::WithdrawalAccepted {
                 request,
-                copies: waiting.copies.len(),
+                copies: pending.copies.len(),
             });
         }
         !is_done
     });
 }
 
-/// Compares a peer's digest and asks for its keys when they differ.
+/// Requests a peer's withdrawn keys if its digest differs from the own.
 pub(super) fn compare(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -176,11 +183,11 @@
     effects: &mut Vec<ConfigurationEffect>,
 ) {
     let is_same = digest.withdrawn == state.withdrawn.digest();
-    let keeps = state.mutated(ConfigurationMutation::KeepWithdrawals);
-    if is_same || keeps || now < state.asked_withdrawals {
+    let is_skipped = state.mutated(ConfigurationMutation::SkipWithdrawalForwarding);
+    if is_same || is_skipped || now < state.next_withdrawals_request {
         return;
     }
-    state.asked_withdrawals = now + state.settings.retry_period;
+    state.next_withdrawals_request = now + state.settings.retry_period;
     effects.push(ConfigurationEffect::Send {
         to: from.clone(),
         message: ConfigurationMessage::WithdrawalsRequest {
@@ -189,7 +196,7 @@
     });
 }
 
-/// Answers a peer with the keys of the groups in which it differs.
+/// Sends a peer the keys of the groups whose digests differ.
 pub(super) fn answer_request(
     state: &ConfigurationState,
     from: VmId,
@@ -202,7 +209,7 @@
     }
 }
 
-/// Asks the edge which keys the configuration in force still holds.
+/// Requests a check of which recorded keys the configuration in force still contains.
 pub(super) fn check_keys(state: &ConfigurationState, effects: &mut Vec<ConfigurationEffect>) {
     let Some(version) = state.in_force else {
         return;
@@ -217,40 +224,42 @@
     }
 }
 
-/// Forgets keys that the configuration in force lacks.
+/// Removes checked keys that the configuration in force lacks, if they were recorded
+/// before its version.
 pub(super) fn keys_checked(
     state: &mut ConfigurationState,
     version: ObjectVersion,
-    asked: &[KeyDigest],
+    checked: &[KeyDigest],
     present: &[KeyDigest],
 ) {
-    let mut may_forget: BTreeSet<KeyDigest> = state
+    let mut removable: BTreeSet<KeyDigest> = state
         .withdrawn
         .recorded_before(version)
         .into_iter()
         .collect();
     if state.mutated(ConfigurationMutation::ForgetUnrecorded) {
-        may_forget.extend(asked);
+        removable.extend(checked);
     }
-    for key in asked {
-        if may_forget.contains(key) && !present.contains(key) {
+    for key in checked {
+        if removable.contains(key) && !present.contains(key) {
             state.withdrawn.remove(key);
         }
     }
 }
 
-/// Writes unrecorded keys to the platform, on a relay.
+/// Writes the record if keys are unrecorded, or reads it after a write with unknown
+/// outcome. Only a relay does so, and only once it has listed the record.
 pub(super) fn drive_record(
     state: &mut ConfigurationState,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    if !state.relay || state.record_too_old || !state.record_work.is_due(now) {
+    if !state.relay || state.record_too_old || !state.record_call.is_due(now) {
         return;
     }
-    let lapse = now + state.settings.answer_limit;
-    if state.record_unsure {
-        state.record_work = CallStage::Waiting { lapse };
+    let expires_at = now + state.settings.answer_limit;
+    if state.record_uncertain {
+        state.record_call = PlatformCall::Waiting { expires_at };
         effects.push(ConfigurationEffect::ReadRecord);
         return;
     }
@@ -258,21 +267,22 @@
     if unrecorded.is_empty() {
         return;
     }
-    state.record_number += 1;
+    state.last_nonce += 1;
     let record = WithdrawalRecord {
         keys: state.withdrawn.iter().map(|entry| entry.key).collect(),
-        holder: state.own.clone(),
-        nonce: state.record_number,
+        holder: state.own_vm.clone(),
+        nonce: state.last_nonce,
     };
-    state.record_work = CallStage::Waiting { lapse };
+    state.record_call = PlatformCall::Waiting { expires_at };
     state.record_sent = Some(record.clone());
     effects.push(ConfigurationEffect::StoreRecord {
         if_version: record_version(state),
         record,
-        deadline: lapse,
+        deadline: expires_at,
     });
 }
 
+/// Returns the known version of the record; zero for none.
 fn record_version(state: &ConfigurationState) -> ObjectVersion {
     state
         .record
@@ -280,7 +290,7 @@
         .map_or_else(ObjectVersion::default, |object| object.version)
 }
 
-/// Takes in the platform's record.
+/// Merges the keys of the platform's record unless its version is known already.
 pub(super) fn adopt_record(
     state: &mut ConfigurationState,
     object: VersionedObject<WithdrawalRecord>,
@@ -289,7 +299,7 @@
     if object.version <= record_version(state) {
         return;
     }
-    let known: BTreeSet<KeyDigest> = state
+    let recorded: BTreeSet<KeyDigest> = state
         .withdrawn
         .iter()
         .filter(|entry| entry.recorded.is_some())
@@ -299,7 +309,7 @@
         .value
         .keys
         .iter()
-        .filter(|key| !known.contains(key))
+        .filter(|key| !recorded.contains(key))
         .map(|&key| WithdrawalEntry {
             key,
             recorded: Some(object.version),
@@ -309,34 +319,34 @@
     let changed = merge(state, &entries, effects);
     if !changed.is_empty() {
         let local = state.local.clone();
-        pass_on(state, &changed, &local, effects);
+        forward(state, &changed, &local, effects);
     }
 }
 
-/// Takes in the answer to a read of the record.
+/// Processes the answer to a read of the record.
 pub(super) fn record_read(
     state: &mut ConfigurationState,
     reply: ReadReply<WithdrawalRecord>,
     now: LocalTime,
     effects: &mut Vec<ConfigurationEffect>,
 ) {
-    let retry = match reply {
+    let retry_at = match reply {
         ReadReply::Found(object) => {
-            state.record_unsure = false;
+            state.record_uncertain = false;
             adopt_record(state, object, effects);
             now
         }
         ReadReply::Missing => {
-            state.record_unsure = false;
+            state.record_uncertain = false;
             state.record = None;
             now
         }
         ReadReply::Unavailable => now + state.settings.retry_period,
     };
-    state.record_work = CallStage::Idle { retry };
+    state.record_call = PlatformCall::Idle { retry_at };
 }
 
-/// Takes in the answer to an update of the record.
+/// Processes the answer to an update of the record.
 pub(super) fn record_stored(
     state: &mut ConfigurationState,
     reply: StoreReply<WithdrawalRecord>,
@@ -353,8 +363,8 @@
             adopt_record(state, object, effects);
         }
         (StoreReply::Conflict(Some(object)), _) => adopt_record(state, object, effects),
-        // The read shows whether the keys are recorded.
-        _ => state.record_unsure = true,
+        // Outcome unknown: a read shows whether the keys are recorded.
+        _ => state.record_uncertain = true,
     }
-    state.record_work = CallStage::Idle { retry: now };
+    state.record_call = PlatformCall::Idle { retry_at: now };
 }
