--- a/crates/clementinepond_decide/src/crash/arbiter.rs
+++ b/crates/clementinepond_decide/src/crash/arbiter.rs
@@ -1,13 +1,14 @@
-//! Permits for suspects, given by one VM.
+//! Table of the permits that a VM granted to suspects, and of the runs that
+//! wait for one.
 
 use super::identity::{CrashTicket, RequestFingerprint};
 use super::settings::{CrashMutation, CrashSettings};
 use clementinepond_types::{EndpointId, LocalTime, VmId};
 use std::collections::BTreeMap;
 
-/// One run of one VM.
+/// Identifies a run in the fleet; tickets are unique only within one VM process.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct RunOwner {
+pub(crate) struct RunKey {
     pub(crate) vm: VmId,
     pub(crate) ticket: CrashTicket,
 }
@@ -20,37 +21,37 @@
     expiry: LocalTime,
 }
 
-/// Run that waits for a permit.
+/// Run that is queued for a permit.
 #[derive(Debug, Clone)]
 pub(crate) struct PermitWaiter {
     pub(crate) fingerprint: RequestFingerprint,
     pub(crate) candidates: Vec<EndpointId>,
     pub(crate) deadline: LocalTime,
-    since: LocalTime,
+    waiting_since: LocalTime,
 }
 
-/// Permits and the runs that wait for one.
+/// Granted permits and the runs that wait for one.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PermitTable {
-    permits: BTreeMap<RunOwner, PermitEntry>,
-    waiters: BTreeMap<RunOwner, PermitWaiter>,
+    permits: BTreeMap<RunKey, PermitEntry>,
+    waiters: BTreeMap<RunKey, PermitWaiter>,
 }
 
 impl PermitTable {
-    /// Returns the endpoint of a run that has a permit.
-    pub(crate) fn permitted(&self, owner: &RunOwner) -> Option<EndpointId> {
-        self.permits
-            .get(owner)
-            .map(|permit| permit.endpoint.clone())
+    /// Returns the endpoint that a run holds a permit for.
+    pub(crate) fn permitted_endpoint(&self, key: &RunKey) -> Option<EndpointId> {
+        self.permits.get(key).map(|permit| permit.endpoint.clone())
     }
 
-    /// Chooses the free endpoint that crashed least by itself.
+    /// Chooses the available endpoint with the fewest unexplained crashes.
     ///
-    /// A likely culprit runs there without other suspects; less likely ones may
-    /// share it.
+    /// A likely culprit runs without other suspects; up to `group_limit` less
+    /// likely ones may share an endpoint. A request that already has a permit
+    /// gets no second one.
     ///
-    /// An endpoint that crashed much more often than another candidate is not
-    /// used, since its next crash would be held against the suspect.
+    /// An endpoint with at least `flaky_limit` more crashes than the best
+    /// candidate is not used, since its next crash would count against the
+    /// suspect.
     pub(crate) fn choose(
         &self,
         fingerprint: RequestFingerprint,
@@ -59,11 +60,11 @@
         crashes: impl Fn(&EndpointId) -> usize,
         settings: &CrashSettings,
     ) -> Option<EndpointId> {
-        let copies = self
+        let is_running = self
             .permits
             .values()
             .any(|permit| permit.fingerprint == fingerprint);
-        if copies && settings.mutation != CrashMutation::RunCopies {
+        if is_running && settings.mutation != CrashMutation::RunCopies {
             return None;
         }
         let fewest = candidates.iter().map(&crashes).min()?;
@@ -71,7 +72,7 @@
             let here = || {
                 self.permits
                     .values()
-                    .filter(|one| one.endpoint == *endpoint)
+                    .filter(|permit| permit.endpoint == *endpoint)
             };
             let limit = if is_likely { 1 } else { settings.group_limit };
             here().count() >= limit || here().any(|permit| permit.is_likely)
@@ -84,73 +85,76 @@
             .cloned()
     }
 
-    /// Counts a run at an endpoint.
-    pub(crate) fn occupy(
+    /// Records that a run occupies an endpoint until the permit expires.
+    pub(crate) fn insert(
         &mut self,
-        owner: RunOwner,
+        key: RunKey,
         fingerprint: RequestFingerprint,
         endpoint: EndpointId,
         is_likely: bool,
         expiry: LocalTime,
     ) {
-        self.waiters.remove(&owner);
+        self.waiters.remove(&key);
         let permit = PermitEntry {
             fingerprint,
             endpoint,
             is_likely,
             expiry,
         };
-        self.permits.insert(owner, permit);
+        self.permits.insert(key, permit);
     }
 
-    /// Remembers a run that waits, in order of its first request.
-    pub(crate) fn wait(
+    /// Queues a run; a repeated request keeps its place in the queue.
+    pub(crate) fn enqueue(
         &mut self,
-        owner: RunOwner,
+        key: RunKey,
         fingerprint: RequestFingerprint,
         candidates: Vec<EndpointId>,
         deadline: LocalTime,
         now: LocalTime,
     ) {
-        let since = self.waiters.get(&owner).map_or(now, |waiter| waiter.since);
+        let waiting_since = self
+            .waiters
+            .get(&key)
+            .map_or(now, |waiter| waiter.waiting_since);
         let waiter = PermitWaiter {
             fingerprint,
             candidates,
             deadline,
-            since,
+            waiting_since,
         };
-        self.waiters.insert(owner, waiter);
+        self.waiters.insert(key, waiter);
     }
 
-    /// Forgets a run.
-    pub(crate) fn remove(&mut self, owner: &RunOwner) {
-        self.permits.remove(owner);
-        self.waiters.remove(owner);
+    /// Removes the permit and the queue entry of a run.
+    pub(crate) fn remove(&mut self, key: &RunKey) {
+        self.permits.remove(key);
+        self.waiters.remove(key);
     }
 
-    /// Forgets that a run waits.
-    pub(crate) fn stop_waiting(&mut self, owner: &RunOwner) {
-        self.waiters.remove(owner);
+    /// Removes the queue entry of a run.
+    pub(crate) fn remove_waiter(&mut self, key: &RunKey) {
+        self.waiters.remove(key);
     }
 
-    /// Forgets the runs of a VM.
+    /// Removes all permits and queue entries of a VM.
     pub(crate) fn remove_vm(&mut self, vm: &VmId) {
-        self.permits.retain(|owner, _| owner.vm != *vm);
-        self.waiters.retain(|owner, _| owner.vm != *vm);
+        self.permits.retain(|key, _| key.vm != *vm);
+        self.waiters.retain(|key, _| key.vm != *vm);
     }
 
-    /// Returns the runs that wait, longest first.
-    pub(crate) fn waiting(&self) -> Vec<(RunOwner, PermitWaiter)> {
+    /// Returns the waiting runs, longest wait first.
+    pub(crate) fn waiting(&self) -> Vec<(RunKey, PermitWaiter)> {
         let mut waiting: Vec<_> = self
             .waiters
             .iter()
-            .map(|(owner, waiter)| (owner.clone(), waiter.clone()))
+            .map(|(key, waiter)| (key.clone(), waiter.clone()))
             .collect();
-        waiting.sort_by_key(|(_, waiter)| waiter.since);
+        waiting.sort_by_key(|(_, waiter)| waiter.waiting_since);
         waiting
     }
 
-    /// Forgets permits and waiters whose time is over.
+    /// Removes expired permits and waiting runs past their deadline.
     pub(crate) fn expire(&mut self, now: LocalTime) {
         self.permits.retain(|_, permit| now < permit.expiry);
         self.waiters.retain(|_, waiter| now < waiter.deadline);
--- a/crates/clementinepond_decide/src/crash/soundness.rs
+++ b/crates/clementinepond_decide/src/crash/completion.rs
@@ -1,8 +1,8 @@
-//! Requests that completed lately.
+//! Recently completed runs, kept as credits against later losses.
 //!
-//! A completed run clears a request of one later loss, and a few runs of a few.
-//! They do not clear it of more, since a new model version may make a sound
-//! request crash.
+//! Each completed run clears its request of one later loss, up to
+//! `sound_credits` losses. The number is bounded because a new model version
+//! may make a harmless request crash.
 
 use super::identity::RequestFingerprint;
 use super::settings::CrashSettings;
@@ -10,27 +10,27 @@
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug, Clone)]
-struct SoundnessEntry {
+struct CompletionEntry {
     completed_at: LocalTime,
     credits: usize,
 }
 
-/// Completed runs that no loss has used up.
+/// Credits of completed runs that no loss has consumed yet.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct SoundnessTable {
-    entries: BTreeMap<RequestFingerprint, SoundnessEntry>,
+pub(crate) struct CompletionTable {
+    entries: BTreeMap<RequestFingerprint, CompletionEntry>,
     order: VecDeque<(LocalTime, RequestFingerprint)>,
 }
 
-impl SoundnessTable {
-    /// Notes a completed run.
-    pub(crate) fn note(
+impl CompletionTable {
+    /// Records a completed run.
+    pub(crate) fn record(
         &mut self,
         fingerprint: RequestFingerprint,
         settings: &CrashSettings,
         now: LocalTime,
     ) {
-        let entry = self.entries.entry(fingerprint).or_insert(SoundnessEntry {
+        let entry = self.entries.entry(fingerprint).or_insert(CompletionEntry {
             completed_at: now,
             credits: 0,
         });
@@ -40,8 +40,9 @@
         self.trim(settings, now);
     }
 
-    /// Uses a completed run up; returns whether there was one.
-    pub(crate) fn use_up(
+    /// Consumes one credit of a request; returns whether it had one that has not
+    /// expired.
+    pub(crate) fn consume(
         &mut self,
         fingerprint: RequestFingerprint,
         settings: &CrashSettings,
@@ -59,14 +60,14 @@
     }
 
     fn trim(&mut self, settings: &CrashSettings, now: LocalTime) {
-        while let Some(&(noted, fingerprint)) = self.order.front() {
-            let is_over = now >= noted + settings.sound_lifetime;
+        while let Some(&(completed_at, fingerprint)) = self.order.front() {
+            let is_over = now >= completed_at + settings.sound_lifetime;
             if !is_over && self.order.len() <= settings.sound_limit {
                 return;
             }
             self.order.pop_front();
             let latest = self.entries.get(&fingerprint);
-            if latest.is_some_and(|entry| entry.completed_at == noted) {
+            if latest.is_some_and(|entry| entry.completed_at == completed_at) {
                 self.entries.remove(&fingerprint);
             }
         }
--- a/crates/clementinepond_decide/src/crash/effect.rs
+++ b/crates/clementinepond_decide/src/crash/effect.rs
@@ -1,4 +1,4 @@
-//! What the crash guard asks its edge to do.
+//! Effects of the crash guard, carried out by the I/O layer.
 
 use super::identity::{CrashTicket, RequestFingerprint};
 use super::message::CrashMessage;
@@ -7,71 +7,74 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Reason for which a run was refused; it did not take place.
+/// Reason why a run was refused before it was sent to an endpoint.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashRefusal {
-    /// The request crashed endpoints before.
+    /// The request crashed endpoints and is blocked.
     #[display(
-        "request crashed the endpoints that ran it; change it, or ask an operator to release it"
+        "request is blocked because it crashed the endpoints that ran it; change it, or ask an operator to release it"
     )]
     Poison,
-    /// No endpoint came free for a suspect before the deadline.
-    #[display("request waits for an endpoint of its own after a crash; send it again later")]
+    /// The arbiter granted a suspect no permit before the deadline.
+    #[display(
+        "request was in flight at a crashed endpoint and got no permit to run before its deadline; send it again later"
+    )]
     Crowded,
 }
 
-/// One effect of the crash guard.
+/// Effect of the crash guard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CrashEffect {
     /// The run may be sent to any endpoint.
     Pass {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
-        /// Endpoints where suspects run; others are better while there are any.
+        /// Endpoints where suspects run; to be used only when no other is available.
         avoid: Vec<EndpointId>,
     },
     /// The run may be sent to this endpoint only.
     RunAlone {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
-        /// Endpoint.
+        /// Endpoint that the permit is for.
         endpoint: EndpointId,
     },
-    /// The run has to wait; another effect for it follows by its deadline.
+    /// The run has to wait; `Pass`, `RunAlone` or `Refused` follows, the
+    /// latter at the first tick from its deadline on.
     Wait {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
     },
-    /// The run must not take place.
+    /// The run must not be sent.
     Refused {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
-        /// Time after which the caller may ask again.
+        /// Time after which the caller may retry.
         retry_after: TimeSpan,
-        /// Reason.
+        /// Reason for the refusal.
         reason: CrashRefusal,
     },
-    /// A request was condemned or released.
+    /// A request was blocked or released.
     VerdictChanged {
-        /// Request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Whether it was released.
+        /// Whether it was released; blocked otherwise.
         released: bool,
     },
     /// Send a message to another VM.
     Send {
-        /// Receiver.
+        /// VM that receives it.
         to: VmId,
-        /// Message.
+        /// Message to send.
         message: CrashMessage,
     },
-    /// Read the verdicts.
+    /// Read the stored verdict object.
     Read,
-    /// Update the verdicts if the object has the expected version.
+    /// Write the verdict object if it has the expected version.
     Store {
         /// Expected version; `None` creates the object.
         expected: Option<ObjectVersion>,
-        /// New value.
+        /// New content.
         object: VerdictObject,
     },
 }
--- a/crates/clementinepond_decide/src/crash/event.rs
+++ b/crates/clementinepond_decide/src/crash/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to the crash guard.
+//! Events that the crash guard reacts to.
 
 use super::identity::{CrashTicket, EndpointIncarnation, RequestFingerprint};
 use super::message::CrashMessage;
@@ -7,91 +7,91 @@
 use clementinepond_types::{DataCentreId, EndpointId, Epoch, LocalTime, VmId};
 use serde::{Deserialize, Serialize};
 
-/// One event of the crash guard.
+/// Event that the crash guard reacts to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CrashEvent {
-    /// A request is about to be sent to an endpoint, for the first time or again.
-    Ask {
-        /// Number of the run; never used twice by one process.
+    /// A request is about to be sent to an endpoint, as a first attempt or a retry.
+    RunRequested {
+        /// Ticket of the run; never reused by one VM process.
         ticket: CrashTicket,
-        /// Request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Endpoints that can run it, best first.
+        /// Endpoints that can run it, shortest expected wait first.
         candidates: Vec<EndpointId>,
-        /// Moment at which the run is given up.
+        /// Time at which a run without a permit is refused.
         deadline: LocalTime,
     },
     /// The run was sent to an endpoint.
     Dispatched {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
-        /// Request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Endpoint.
+        /// Endpoint that runs it.
         endpoint: EndpointId,
-        /// Endpoint process that last reported.
+        /// Incarnation in the endpoint's last report.
         incarnation: EndpointIncarnation,
     },
     /// The endpoint answered the run completely.
     Completed {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
     },
     /// The run was cancelled, refused by the endpoint, or never sent.
     Stopped {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
     },
     /// The connection broke before the answer was complete.
     StreamBroken {
-        /// Number of the run.
+        /// Ticket of the run.
         ticket: CrashTicket,
     },
-    /// An endpoint reported.
-    EndpointSeen {
-        /// Endpoint.
+    /// An endpoint sent a report.
+    EndpointReported {
+        /// Endpoint that reported.
         endpoint: EndpointId,
-        /// Process that reported.
+        /// Incarnation in the report.
         incarnation: EndpointIncarnation,
-        /// Moment at which the report was asked for.
+        /// Time at which the report was requested.
         asked_at: LocalTime,
     },
-    /// An endpoint has not been reachable for the edge's time limit.
-    EndpointLost {
-        /// Endpoint.
+    /// An endpoint has sent no report for longer than the node's time limit.
+    EndpointUnreachable {
+        /// Endpoint that is unreachable.
         endpoint: EndpointId,
     },
-    /// A message came from another VM.
+    /// A message from another VM arrived.
     Received {
-        /// Sender.
+        /// VM that sent it.
         from: VmId,
-        /// Message.
+        /// Message received.
         message: CrashMessage,
     },
-    /// A roster was learned.
+    /// A roster was received; ignored unless its epoch is newer than the known one.
     RosterChanged {
         /// Data centre of the roster.
         data_centre: DataCentreId,
-        /// Generation of the roster.
+        /// Epoch of the roster; larger is newer.
         epoch: Epoch,
-        /// VMs of the roster.
+        /// VMs in the roster.
         members: Vec<VmId>,
     },
-    /// The write of the verdicts was answered.
+    /// The platform answered a write of the verdict object.
     StoreReplied {
-        /// Answer.
+        /// Outcome of the write.
         reply: StoreReply<VerdictObject>,
     },
-    /// The read of the verdicts was answered.
+    /// The platform answered a read of the verdict object.
     ReadReplied {
-        /// Answer.
+        /// Outcome of the read.
         reply: ReadReply<VerdictObject>,
     },
     /// An operator releases a request.
     Release {
-        /// Request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
     },
-    /// Time passed.
+    /// Periodic timer.
     Tick,
 }
--- a/crates/clementinepond_decide/src/crash/guard.rs
+++ b/crates/clementinepond_decide/src/crash/guard.rs
@@ -1,22 +1,23 @@
-//! Losses, suspects and verdicts: what is known and how it spreads.
+//! Updates losses, suspects and verdicts, and broadcasts the changes to other VMs.
 
 use super::effect::CrashEffect;
 use super::evidence::loss_evidence;
 use super::identity::{CrashTicket, EndpointIncarnation, EndpointLoss, RequestFingerprint};
-use super::loss::LossFate;
+use super::loss::LossStatus;
 use super::message::{CrashMessage, LossReport, SuspectReport};
 use super::permit;
 use super::run::{InFlight, RequestRun, RunEntry};
 use super::settings::{CrashMutation, CrashSharing};
 use super::state::CrashState;
-use super::suspect::Standing;
+use super::suspect::SuspectStatus;
 use super::verdict::Verdict;
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan};
 
-/// Largest number of reports in one broadcast.
-const ANNOUNCE_LIMIT: usize = 512;
+/// Largest number of suspect reports in one broadcast; the rest follow in the next
+/// one. Loss reports and verdicts are not limited.
+const ANNOUNCED_SUSPECTS_LIMIT: usize = 512;
 
-/// Clears the request of a run that completed.
+/// Ends a completed run and clears its request of all losses.
 pub(crate) fn completed(
     state: &mut CrashState,
     ticket: CrashTicket,
@@ -28,19 +29,21 @@
     let fingerprint = entry.fingerprint();
     if state.settings.mutation != CrashMutation::KeepCleared {
         clear(state, fingerprint, now);
-        state.soundness.note(fingerprint, &state.settings, now);
+        state.completions.record(fingerprint, &state.settings, now);
     }
     let mut effects = Vec::new();
     if state.verdicts.is_refused(fingerprint, now) {
-        // A copy that was in flight at the verdict disproves it.
+        // A copy that was in flight at the time of the verdict completed, which
+        // disproves the verdict.
         effects.extend(release(state, fingerprint, now));
     }
-    effects.extend(permit::over(state, ticket));
+    effects.extend(permit::end_run(state, ticket));
     effects
 }
 
+/// Clears a request of its losses and queues the change for broadcast.
 fn clear(state: &mut CrashState, fingerprint: RequestFingerprint, now: LocalTime) {
-    let open = state.suspects.open_losses(fingerprint);
+    let open = state.suspects.uncleared_losses(fingerprint);
     if open.is_empty() {
         return;
     }
@@ -54,65 +57,70 @@
         run_time: TimeSpan::ZERO,
         cleared: true,
     });
-    state.news.suspects.extend(reports);
+    state.updates.suspects.extend(reports);
 }
 
-/// Holds a broken run's endpoint against its request until more is known.
+/// Records a pending loss for a run whose connection broke, and makes its request
+/// a suspect.
 pub(crate) fn stream_broken(
     state: &mut CrashState,
     ticket: CrashTicket,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
     let Some(RunEntry::InFlight(run)) = state.runs.get(&ticket) else {
-        return permit::over(state, ticket);
+        return permit::end_run(state, ticket);
     };
     let run = run.clone();
-    let fate = state.losses.broke(&run.stage.loss, &state.settings, now);
-    accuse(state, &run, now);
-    let mut effects = permit::over(state, ticket);
+    let status = state
+        .losses
+        .record_break(&run.stage.loss, &state.settings, now);
+    record_suspect_loss(state, &run, now);
+    let mut effects = permit::end_run(state, ticket);
     let loss = run.stage.loss;
-    state.news.losses.push(LossReport { loss, fate });
-    effects.extend(judge(state, &[run.fingerprint], now));
+    state.updates.losses.push(LossReport { loss, status });
+    effects.extend(evaluate(state, &[run.fingerprint], now));
     effects
 }
 
-fn accuse(state: &mut CrashState, run: &RequestRun<InFlight>, now: LocalTime) {
+/// Counts a loss against the request of a run and queues it for broadcast.
+fn record_suspect_loss(state: &mut CrashState, run: &RequestRun<InFlight>, now: LocalTime) {
     let loss = &run.stage.loss;
-    let crashes = state.losses.own_crashes(&loss.endpoint);
+    let crashes = state.losses.unexplained_crashes(&loss.endpoint);
     let run_time = now.since(run.stage.started_at);
     let evidence = loss_evidence(&state.settings, crashes, run_time);
     let fingerprint = run.fingerprint;
-    let is_news =
+    let is_new =
         state
             .suspects
-            .accuse(fingerprint, loss, evidence, run_time, &state.settings, now);
-    if is_news {
-        state.news.suspects.push(SuspectReport {
+            .record_loss(fingerprint, loss, evidence, run_time, &state.settings, now);
+    if is_new {
+        state.updates.suspects.push(SuspectReport {
             fingerprint,
             loss: loss.clone(),
             evidence,
             run_time,
             cleared: false,
         });
-        speak_for(state, fingerprint, loss, now);
+        apply_completion_credit(state, fingerprint, loss, now);
     }
 }
 
-/// Clears a request of a loss if it completed lately at this VM.
-fn speak_for(
+/// Clears a request of a loss if it has a credit of a run that recently completed
+/// at this VM.
+fn apply_completion_credit(
     state: &mut CrashState,
     fingerprint: RequestFingerprint,
     loss: &EndpointLoss,
     now: LocalTime,
 ) {
-    if !state.soundness.use_up(fingerprint, &state.settings, now) {
+    if !state.completions.consume(fingerprint, &state.settings, now) {
         return;
     }
     let cleared = std::slice::from_ref(loss);
     state
         .suspects
         .clear(fingerprint, cleared, &state.settings, now);
-    state.news.suspects.push(SuspectReport {
+    state.updates.suspects.push(SuspectReport {
         fingerprint,
         loss: loss.clone(),
         evidence: 0,
@@ -121,8 +129,8 @@
     });
 }
 
-/// Takes an endpoint's report.
-pub(crate) fn endpoint_seen(
+/// Confirms or dismisses the losses that an endpoint's report decides.
+pub(crate) fn endpoint_reported(
     state: &mut CrashState,
     endpoint: &EndpointId,
     incarnation: EndpointIncarnation,
@@ -130,17 +138,18 @@
     now: LocalTime,
 ) -> Vec<CrashEffect> {
     let mut effects = Vec::new();
-    let judged = state
+    let statuses = state
         .losses
-        .judged_by_report(endpoint, incarnation, asked_at);
-    for (loss, fate) in judged {
-        effects.extend(learn(state, &loss, fate, now));
+        .statuses_by_report(endpoint, incarnation, asked_at);
+    for (loss, status) in statuses {
+        effects.extend(merge_loss(state, &loss, status, now));
     }
     effects
 }
 
-/// Takes an endpoint's lasting absence.
-pub(crate) fn endpoint_lost(
+/// Treats the runs at an unreachable endpoint as broken and confirms its pending
+/// losses.
+pub(crate) fn endpoint_unreachable(
     state: &mut CrashState,
     endpoint: &EndpointId,
     now: LocalTime,
@@ -148,7 +157,7 @@
     let runs = runs_at(state, endpoint);
     let mut effects = break_runs(state, &runs, now);
     for loss in state.losses.pending_at(endpoint) {
-        effects.extend(learn(state, &loss, LossFate::Unreachable, now));
+        effects.extend(merge_loss(state, &loss, LossStatus::Unreachable, now));
     }
     effects
 }
@@ -172,42 +181,44 @@
         .collect()
 }
 
-/// Merges knowledge of a loss and judges the requests that were there.
-fn learn(
+/// Updates the status of a loss and evaluates its suspects.
+fn merge_loss(
     state: &mut CrashState,
     loss: &EndpointLoss,
-    fate: LossFate,
+    status: LossStatus,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    if !state.losses.merge(loss, fate, now) {
+    if !state.losses.merge(loss, status, now) {
         return Vec::new();
     }
-    state.news.losses.push(LossReport {
+    state.updates.losses.push(LossReport {
         loss: loss.clone(),
-        fate,
+        status,
     });
-    if fate == LossFate::Alive {
+    if status == LossStatus::Alive {
         state.suspects.forget_loss(loss);
         return Vec::new();
     }
-    let accused = state.suspects.accused_of(loss);
-    judge(state, &accused, now)
+    let suspects = state.suspects.suspects_of(loss);
+    evaluate(state, &suspects, now)
 }
 
-/// Condemns requests whose losses suffice, and reports runs of the others.
-pub(crate) fn judge(
+/// Blocks requests with enough losses and evidence, and reports suspects in flight
+/// to the arbiter.
+pub(crate) fn evaluate(
     state: &mut CrashState,
     fingerprints: &[RequestFingerprint],
     now: LocalTime,
 ) -> Vec<CrashEffect> {
     let mut effects = Vec::new();
     for &fingerprint in fingerprints {
-        let standing = state
-            .suspects
-            .standing(fingerprint, &state.losses, &state.settings);
-        if standing == Standing::Poison && !state.verdicts.is_refused(fingerprint, now) {
-            let lost = state.suspects.open_losses(fingerprint).len();
-            let verdict = state.verdicts.condemn(fingerprint, lost, &state.settings);
+        let suspect_status =
+            state
+                .suspects
+                .suspect_status(fingerprint, &state.losses, &state.settings);
+        if suspect_status == SuspectStatus::Poison && !state.verdicts.is_refused(fingerprint, now) {
+            let lost = state.suspects.uncleared_losses(fingerprint).len();
+            let verdict = state.verdicts.block(fingerprint, lost, &state.settings);
             effects.extend(merge_verdicts(state, &[verdict], now));
         }
     }
@@ -215,7 +226,7 @@
     effects
 }
 
-/// Merges verdicts and passes news on.
+/// Merges verdicts and queues the new ones for broadcast and for the store.
 pub(crate) fn merge_verdicts(
     state: &mut CrashState,
     verdicts: &[Verdict],
@@ -230,12 +241,12 @@
         if verdict.released {
             state.suspects.remove(fingerprint);
         } else {
-            for loss in state.suspects.open_losses(fingerprint) {
-                state.losses.explain(&loss);
+            for loss in state.suspects.uncleared_losses(fingerprint) {
+                state.losses.mark_explained(&loss);
             }
         }
         state.store.dirty = true;
-        state.news.verdicts.push(verdict.clone());
+        state.updates.verdicts.push(verdict.clone());
         effects.push(CrashEffect::VerdictChanged {
             fingerprint,
             released: verdict.released,
@@ -245,7 +256,7 @@
     effects
 }
 
-/// Releases a request for an operator.
+/// Clears a request of its losses and releases it if there is a verdict on it.
 pub(crate) fn release(
     state: &mut CrashState,
     fingerprint: RequestFingerprint,
@@ -258,8 +269,8 @@
     }
 }
 
-/// Takes news of another VM.
-pub(crate) fn announced(
+/// Merges what another VM announced and evaluates the requests concerned.
+pub(crate) fn merge_announcement(
     state: &mut CrashState,
     losses: Vec<LossReport>,
     suspects: Vec<SuspectReport>,
@@ -268,27 +279,27 @@
 ) -> Vec<CrashEffect> {
     let mut touched = Vec::new();
     for report in suspects {
-        take_suspect(state, &report, now);
+        merge_suspect(state, &report, now);
         touched.push(report.fingerprint);
     }
     for report in losses {
-        state.losses.merge(&report.loss, report.fate, now);
-        if report.fate == LossFate::Alive {
+        state.losses.merge(&report.loss, report.status, now);
+        if report.status == LossStatus::Alive {
             state.suspects.forget_loss(&report.loss);
         }
-        touched.extend(state.suspects.accused_of(&report.loss));
+        touched.extend(state.suspects.suspects_of(&report.loss));
     }
-    let queued = state.news.verdicts.len();
+    let queued = state.updates.verdicts.len();
     let mut effects = merge_verdicts(state, &verdicts, now);
-    // The first sender told every VM already.
-    state.news.verdicts.truncate(queued);
+    // The VM that issued a verdict sends it to every VM, so it is not sent on.
+    state.updates.verdicts.truncate(queued);
     touched.sort_unstable();
     touched.dedup();
-    effects.extend(judge(state, &touched, now));
+    effects.extend(evaluate(state, &touched, now));
     effects
 }
 
-fn take_suspect(state: &mut CrashState, report: &SuspectReport, now: LocalTime) {
+fn merge_suspect(state: &mut CrashState, report: &SuspectReport, now: LocalTime) {
     let (fingerprint, loss) = (report.fingerprint, &report.loss);
     if report.cleared {
         let cleared = std::slice::from_ref(loss);
@@ -297,7 +308,7 @@
             .clear(fingerprint, cleared, &state.settings, now);
     } else {
         let evidence = report.evidence;
-        let is_news = state.suspects.accuse(
+        let is_new = state.suspects.record_loss(
             fingerprint,
             loss,
             evidence,
@@ -305,35 +316,35 @@
             &state.settings,
             now,
         );
-        if is_news {
-            speak_for(state, fingerprint, loss, now);
+        if is_new {
+            apply_completion_credit(state, fingerprint, loss, now);
         }
     }
 }
 
-/// Broadcasts news, at once or after the gap.
+/// Broadcasts queued updates, at most once every `announce_gap`.
 pub(crate) fn announce(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
-    if state.news.is_empty() {
+    if state.updates.is_empty() {
         return Vec::new();
     }
     if state.settings.sharing == CrashSharing::Isolated {
-        state.news = super::state::NewsQueue::default();
+        state.updates = super::state::UpdateQueue::default();
         return Vec::new();
     }
-    if now < state.news.next_send {
+    if now < state.updates.next_send {
         return Vec::new();
     }
-    state.news.next_send = now + state.settings.announce_gap;
+    state.updates.next_send = now + state.settings.announce_gap;
     let rest = state
-        .news
+        .updates
         .suspects
-        .split_off(state.news.suspects.len().min(ANNOUNCE_LIMIT));
-    let occupied = state.news.occupied_changed.then(|| state.own_occupied());
-    state.news.occupied_changed = false;
+        .split_off(state.updates.suspects.len().min(ANNOUNCED_SUSPECTS_LIMIT));
+    let occupied = state.updates.occupied_changed.then(|| state.own_occupied());
+    state.updates.occupied_changed = false;
     let message = CrashMessage::Announce {
-        losses: std::mem::take(&mut state.news.losses),
-        suspects: std::mem::replace(&mut state.news.suspects, rest),
-        verdicts: std::mem::take(&mut state.news.verdicts),
+        losses: std::mem::take(&mut state.updates.losses),
+        suspects: std::mem::replace(&mut state.updates.suspects, rest),
+        verdicts: std::mem::take(&mut state.updates.verdicts),
         occupied,
     };
     let peers = state.peers().into_iter();
@@ -345,13 +356,14 @@
         .collect()
 }
 
-/// Confirms overdue losses and forgets what expired.
+/// Confirms overdue losses, renews permits and removes expired entries.
 pub(crate) fn sweep(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
-    // Renewed often, so that a lost message frees an endpoint soon.
+    // Frequent renewal permits a short `permit_limit`, so that a lost message at
+    // the end of a run does not occupy the endpoint for long.
     let mut effects = permit::report_runs(state);
-    state.news.occupied_changed |= !state.own_occupied().is_empty();
+    state.updates.occupied_changed |= !state.own_occupied().is_empty();
     for loss in state.losses.overdue(&state.settings, now) {
-        effects.extend(learn(state, &loss, LossFate::Unreachable, now));
+        effects.extend(merge_loss(state, &loss, LossStatus::Unreachable, now));
     }
     state.losses.expire(&state.settings, now);
     state.suspects.expire(now);
--- a/crates/clementinepond_decide/src/crash/identity.rs
+++ b/crates/clementinepond_decide/src/crash/identity.rs
@@ -1,4 +1,4 @@
-//! Names of requests by content, of calls, and of lost endpoint processes.
+//! Identifiers of requests by content, of runs, and of endpoint processes.
 
 use clementinepond_types::{AccountId, EndpointId, ModelId};
 use derive_more::{Display, Error};
@@ -7,24 +7,25 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Length of a fingerprint, in bytes.
-const FINGERPRINT_LENGTH: usize = 16;
+/// Length of a fingerprint; a prefix of the BLAKE3 hash.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// Reason for which a fingerprint was refused.
+/// Error for text that is not a fingerprint.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display(
-    "request fingerprint is not 32 hexadecimal digits; copy it whole from the list of verdicts"
+    "request fingerprint is not 32 hexadecimal digits; copy it in full from the list of verdicts"
 )]
 pub struct FingerprintError;
 
-/// Hash of a client account, a model and a request body.
+/// Hash of a client account, a model and a request body; 32 hexadecimal digits as
+/// text.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
-pub struct RequestFingerprint([u8; FINGERPRINT_LENGTH]);
+pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// Hashes the parts of a request.
+    /// Hashes account, model and body, each preceded by its length.
     #[must_use]
     pub fn new(account: &AccountId, model: &ModelId, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -32,8 +33,8 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut bytes = [0; FINGERPRINT_LENGTH];
-        bytes.copy_from_slice(&hasher.finalize().as_bytes()[..FINGERPRINT_LENGTH]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hasher.finalize().as_bytes()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 }
@@ -50,10 +51,10 @@
     type Err = FingerprintError;
 
     fn from_str(text: &str) -> Result<Self, FingerprintError> {
-        if text.len() != 2 * FINGERPRINT_LENGTH || !text.is_ascii() {
+        if text.len() != 2 * FINGERPRINT_BYTES || !text.is_ascii() {
             return Err(FingerprintError);
         }
-        let mut bytes = [0; FINGERPRINT_LENGTH];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let pair = &text[2 * index..2 * index + 2];
             *byte = u8::from_str_radix(pair, 16).map_err(|_| FingerprintError)?;
@@ -62,7 +63,7 @@
     }
 }
 
-/// Number that the edge gives to one run of a request, unique in one process.
+/// Number of one run of a request, unique within one VM process.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -76,14 +77,14 @@
         Self(number)
     }
 
-    /// Returns the plain number.
+    /// Returns the ticket as an integer.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 }
 
-/// Number of an endpoint's process, from its report.
+/// Number from an endpoint's report that changes when its process restarts.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -98,12 +99,12 @@
     }
 }
 
-/// One endpoint process that was lost.
+/// Endpoint process that was lost, or to which a connection broke.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{endpoint}#{incarnation}")]
 pub struct EndpointLoss {
-    /// Endpoint.
+    /// Endpoint that ran the process.
     pub endpoint: EndpointId,
-    /// Process on the endpoint.
+    /// Incarnation of the process.
     pub incarnation: EndpointIncarnation,
 }
--- a/crates/clementinepond_decide/src/crash/loss.rs
+++ b/crates/clementinepond_decide/src/crash/loss.rs
@@ -1,4 +1,4 @@
-//! Lost endpoint processes and what became of them.
+//! Lost endpoint processes and their status.
 
 use super::identity::{EndpointIncarnation, EndpointLoss};
 use super::message::LossReport;
@@ -7,22 +7,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What is known of a process whose connections broke.
+/// Status of an endpoint process whose connection broke.
 ///
-/// Larger is more certain; knowledge of two VMs merges to the larger.
+/// Variants are in order of certainty; the statuses of two VMs merge to the larger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum LossFate {
-    /// Connections broke.
+pub enum LossStatus {
+    /// A connection broke; the loss is neither confirmed nor dismissed.
     Pending,
-    /// It stayed unreachable.
+    /// The endpoint stayed unreachable, or the loss was pending for too long.
     Unreachable,
-    /// It reported again.
+    /// The same process reported after the break, which dismisses the loss.
     Alive,
-    /// Another process reported in its place.
+    /// The endpoint reported another incarnation.
     Restarted,
 }
 
-impl LossFate {
+impl LossStatus {
     /// Returns whether the process counts as crashed.
     #[must_use]
     pub const fn is_confirmed(self) -> bool {
@@ -30,127 +30,137 @@
     }
 }
 
-/// One lost process.
+/// Status of one lost process.
 #[derive(Debug, Clone)]
 pub(crate) struct LossEntry {
-    pub(crate) fate: LossFate,
+    pub(crate) status: LossStatus,
     pub(crate) broken_at: LocalTime,
-    /// Whether a refused request explains the loss, for the endpoint's record.
+    /// Whether a blocked request explains the loss, so that it does not count as
+    /// one of the endpoint's own crashes.
     ///
-    /// The other requests that were there stay suspects until they complete,
-    /// since the refused one need not be the culprit.
+    /// Other requests that were in flight stay suspects until they complete, since
+    /// the blocked request need not be the culprit.
     pub(crate) explained: bool,
 }
 
 impl LossEntry {
-    fn new(fate: LossFate, now: LocalTime) -> Self {
+    fn new(status: LossStatus, now: LocalTime) -> Self {
         Self {
-            fate,
+            status,
             broken_at: now,
             explained: false,
         }
     }
 }
 
-/// Losses that this VM knows of.
+/// Losses known to this VM.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LossTable {
     entries: BTreeMap<EndpointLoss, LossEntry>,
 }
 
 impl LossTable {
-    /// Merges knowledge of a loss; returns whether it was news.
-    pub(crate) fn merge(&mut self, loss: &EndpointLoss, fate: LossFate, now: LocalTime) -> bool {
+    /// Merges the status of a loss; returns whether it changed.
+    pub(crate) fn merge(
+        &mut self,
+        loss: &EndpointLoss,
+        status: LossStatus,
+        now: LocalTime,
+    ) -> bool {
         let Some(entry) = self.entries.get_mut(loss) else {
-            self.entries.insert(loss.clone(), LossEntry::new(fate, now));
+            self.entries
+                .insert(loss.clone(), LossEntry::new(status, now));
             return true;
         };
-        // A process that answered can break anew. If this is old news of its
-        // first break, the next report dismisses it again.
-        if entry.fate == LossFate::Alive && fate == LossFate::Pending {
-            *entry = LossEntry::new(fate, now);
+        // A dismissed process may break another connection. If this is a late
+        // message about the earlier break, the next report dismisses it again.
+        if entry.status == LossStatus::Alive && status == LossStatus::Pending {
+            *entry = LossEntry::new(status, now);
             return true;
         }
-        let is_news = fate > entry.fate;
-        if is_news {
-            entry.fate = fate;
+        let is_new = status > entry.status;
+        if is_new {
+            entry.status = status;
         }
-        is_news
+        is_new
     }
 
-    /// Notes that a connection to a process broke.
-    pub(crate) fn broke(
+    /// Records a broken connection to a process; returns the status of the loss.
+    pub(crate) fn record_break(
         &mut self,
         loss: &EndpointLoss,
         settings: &CrashSettings,
         now: LocalTime,
-    ) -> LossFate {
-        let fate = if settings.mutation == CrashMutation::TrustBrokenStream {
-            LossFate::Restarted
+    ) -> LossStatus {
+        let status = if settings.mutation == CrashMutation::TrustBrokenStream {
+            LossStatus::Restarted
         } else {
-            LossFate::Pending
+            LossStatus::Pending
         };
         let entry = self
             .entries
             .entry(loss.clone())
-            .or_insert_with(|| LossEntry::new(fate, now));
-        if entry.fate == LossFate::Alive {
-            *entry = LossEntry::new(fate, now);
+            .or_insert_with(|| LossEntry::new(status, now));
+        if entry.status == LossStatus::Alive {
+            *entry = LossEntry::new(status, now);
         }
-        entry.fate
+        entry.status
     }
 
     pub(crate) fn get(&self, loss: &EndpointLoss) -> Option<&LossEntry> {
         self.entries.get(loss)
     }
 
-    /// Returns what is known of losses, for another VM.
+    /// Returns reports on the given losses for another VM, leaving out unknown ones.
     pub(crate) fn reports(&self, losses: &[EndpointLoss]) -> Vec<LossReport> {
         let known = losses.iter().filter_map(|loss| {
             let entry = self.entries.get(loss)?;
             Some(LossReport {
                 loss: loss.clone(),
-                fate: entry.fate,
+                status: entry.status,
             })
         });
         known.collect()
     }
 
-    pub(crate) fn explain(&mut self, loss: &EndpointLoss) {
+    pub(crate) fn mark_explained(&mut self, loss: &EndpointLoss) {
         if let Some(entry) = self.entries.get_mut(loss) {
             entry.explained = true;
         }
     }
 
-    /// Returns what a report tells about the endpoint's unconfirmed losses.
-    pub(crate) fn judged_by_report(
+    /// Returns the statuses that a report implies for the endpoint's known losses.
+    ///
+    /// Another incarnation means a restart; the same incarnation dismisses the loss
+    /// if the report was requested after the break.
+    pub(crate) fn statuses_by_report(
         &self,
         endpoint: &EndpointId,
         incarnation: EndpointIncarnation,
         asked_at: LocalTime,
-    ) -> Vec<(EndpointLoss, LossFate)> {
-        self.of(endpoint)
+    ) -> Vec<(EndpointLoss, LossStatus)> {
+        self.at_endpoint(endpoint)
             .filter_map(|(loss, entry)| {
                 if loss.incarnation != incarnation {
-                    return Some((loss.clone(), LossFate::Restarted));
+                    return Some((loss.clone(), LossStatus::Restarted));
                 }
-                (asked_at > entry.broken_at).then(|| (loss.clone(), LossFate::Alive))
+                (asked_at > entry.broken_at).then(|| (loss.clone(), LossStatus::Alive))
             })
             .collect()
     }
 
-    /// Returns the endpoint's losses that still lack a confirmation.
+    /// Returns the endpoint's pending losses.
     pub(crate) fn pending_at(&self, endpoint: &EndpointId) -> Vec<EndpointLoss> {
-        self.of(endpoint)
-            .filter(|(_, entry)| entry.fate == LossFate::Pending)
+        self.at_endpoint(endpoint)
+            .filter(|(_, entry)| entry.status == LossStatus::Pending)
             .map(|(loss, _)| loss.clone())
             .collect()
     }
 
-    /// Returns losses that were pending for too long.
+    /// Returns losses that have been pending for `pending_limit` or longer.
     pub(crate) fn overdue(&self, settings: &CrashSettings, now: LocalTime) -> Vec<EndpointLoss> {
         let is_overdue = |entry: &LossEntry| {
-            entry.fate == LossFate::Pending && now >= entry.broken_at + settings.pending_limit
+            entry.status == LossStatus::Pending && now >= entry.broken_at + settings.pending_limit
         };
         self.entries
             .iter()
@@ -159,14 +169,15 @@
             .collect()
     }
 
-    /// Counts an endpoint's confirmed crashes that no refused request explains.
-    pub(crate) fn own_crashes(&self, endpoint: &EndpointId) -> usize {
-        self.of(endpoint)
-            .filter(|(_, entry)| entry.fate.is_confirmed() && !entry.explained)
+    /// Returns the number of an endpoint's confirmed losses that no blocked request
+    /// explains.
+    pub(crate) fn unexplained_crashes(&self, endpoint: &EndpointId) -> usize {
+        self.at_endpoint(endpoint)
+            .filter(|(_, entry)| entry.status.is_confirmed() && !entry.explained)
             .count()
     }
 
-    /// Forgets losses beyond the window.
+    /// Removes losses older than both `crash_window` and `suspect_lifetime`.
     pub(crate) fn expire(&mut self, settings: &CrashSettings, now: LocalTime) {
         let kept_for = settings.crash_window.max(settings.suspect_lifetime);
         self.entries
@@ -177,7 +188,10 @@
         self.entries.len()
     }
 
-    fn of(&self, endpoint: &EndpointId) -> impl Iterator<Item = (&EndpointLoss, &LossEntry)> {
+    fn at_endpoint(
+        &self,
+        endpoint: &EndpointId,
+    ) -> impl Iterator<Item = (&EndpointLoss, &LossEntry)> {
         self.entries
             .iter()
             .filter(move |(loss, _)| loss.endpoint == *endpoint)
--- a/crates/clementinepond_decide/src/crash/message.rs
+++ b/crates/clementinepond_decide/src/crash/message.rs
@@ -1,98 +1,98 @@
-//! What VMs tell each other about crashes.
+//! Messages that VMs exchange about crashes.
 
 use super::identity::{CrashTicket, EndpointLoss, RequestFingerprint};
-use super::loss::LossFate;
+use super::loss::LossStatus;
 use super::verdict::Verdict;
 use clementinepond_types::{EndpointId, TimeSpan};
 use serde::{Deserialize, Serialize};
 
-/// Knowledge about one lost process.
+/// Status of one lost process, as one VM reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LossReport {
-    /// Process.
+    /// Lost process.
     pub loss: EndpointLoss,
-    /// What became of it.
-    pub fate: LossFate,
+    /// Status of the loss.
+    pub status: LossStatus,
 }
 
-/// Knowledge about one request at one lost process.
+/// Report on one request that was in flight at one lost process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// Request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Process.
+    /// Lost process.
     pub loss: EndpointLoss,
-    /// Weight of the loss, in thousandths of a bit.
+    /// Weight of the loss as evidence, in thousandths of a bit.
     pub evidence: u64,
-    /// Time for which the request had run.
+    /// Run time of the request when the connection broke.
     pub run_time: TimeSpan,
-    /// Whether the request completed a run afterwards.
+    /// Whether the request was cleared of the loss by a completed run or an operator.
     pub cleared: bool,
 }
 
-/// Answer of the arbiter.
+/// Answer of the arbiter to a permit request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// The request may run on this endpoint.
+    /// The request may run on this endpoint only.
     Run(EndpointId),
-    /// The request has to wait; the arbiter answers again.
+    /// The request has to wait; the arbiter answers again when the permit is granted.
     Wait,
-    /// Nothing is held against the request.
-    Sound,
+    /// The request has no uncleared loss and may run on any endpoint.
+    Cleared,
 }
 
-/// One message between VMs.
+/// Message between the crash guards of two VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CrashMessage {
-    /// News about losses, suspects and verdicts.
+    /// Broadcasts updates of losses, suspects and verdicts.
     Announce {
-        /// Lost processes.
+        /// Updated losses.
         losses: Vec<LossReport>,
-        /// Requests at them.
+        /// Updated suspects.
         suspects: Vec<SuspectReport>,
-        /// Verdicts.
+        /// New verdicts.
         verdicts: Vec<Verdict>,
-        /// Endpoints where the sender runs suspects; `None` is no news.
+        /// Endpoints where the sender runs suspects; `None` if unchanged.
         occupied: Option<Vec<EndpointId>>,
     },
-    /// Asks the arbiter for a permit.
-    AskPermit {
-        /// Run that asks.
+    /// Requests a permit from the arbiter.
+    RequestPermit {
+        /// Run that requests the permit.
         ticket: CrashTicket,
-        /// Request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Endpoints that can run it, best first.
+        /// Endpoints that can run it, shortest expected wait first.
         candidates: Vec<EndpointId>,
-        /// Losses that the sender holds against it.
+        /// Losses that the sender counts against it.
         suspects: Vec<SuspectReport>,
-        /// What the sender knows of them.
+        /// Statuses of the losses at the sender.
         losses: Vec<LossReport>,
-        /// Time left until the run is given up.
+        /// Time left until the run is refused.
         time_left: TimeSpan,
     },
-    /// Answers a request for a permit.
+    /// Answers a permit request.
     Permit {
-        /// Run that asked.
+        /// Run that requested the permit.
         ticket: CrashTicket,
-        /// Answer.
+        /// Decision of the arbiter.
         reply: PermitReply,
     },
-    /// Tells the arbiter that a suspect is running.
+    /// Registers the run of a suspect with the arbiter, or renews its permit.
     Running {
-        /// Run.
+        /// Run that is registered.
         ticket: CrashTicket,
-        /// Request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
-        /// Endpoint.
+        /// Endpoint that runs it.
         endpoint: EndpointId,
     },
-    /// Tells the arbiter that a run is over or does not take place.
-    RunOver {
-        /// Run.
+    /// Notifies the arbiter that a run ended or will not be sent.
+    RunEnded {
+        /// Run that ended.
         ticket: CrashTicket,
-        /// What the sender holds against the request.
+        /// Losses that the sender counts against the request.
         suspects: Vec<SuspectReport>,
-        /// What the sender knows of the losses.
+        /// Statuses of the losses at the sender.
         losses: Vec<LossReport>,
     },
 }
--- a/crates/clementinepond_decide/src/crash/mod.rs
+++ b/crates/clementinepond_decide/src/crash/mod.rs
@@ -1,18 +1,24 @@
-//! Crash guard: requests that crash the endpoints that run them.
+//! Crash guard: detects and blocks poison requests, which crash the endpoints
+//! that run them.
 //!
-//! Every request in flight at an endpoint that was lost becomes a suspect.
-//! Suspects run one at a time on an endpoint, and one copy at a time in the
-//! fleet, by permit of one arbiter VM; a suspect that completes is cleared. A
-//! suspect with two confirmed losses whose evidence passes the threshold is
-//! refused from then on, at every VM, until the verdict expires or an operator
-//! releases it.
+//! Every request in flight at an endpoint process that was lost becomes a
+//! suspect. A likely culprit runs alone on an endpoint; up to
+//! [`CrashSettings::group_limit`] less likely suspects may share one. Only one
+//! copy of a suspect runs in the fleet at a time, by permit of one arbiter VM.
+//! A suspect that completes is cleared. A suspect with
+//! [`CrashSettings::loss_limit`] confirmed losses (2 by default) whose evidence
+//! reaches the threshold is blocked at every VM until the verdict expires or an
+//! operator releases it.
 //!
 //! A broken connection is a pending loss. It is confirmed by a changed
-//! incarnation or by the endpoint's lasting absence, and dismissed by a report
-//! of the same incarnation that was asked for after the break. What VMs tell
-//! each other about losses only grows, so that order and repeats do not matter.
+//! incarnation or when the endpoint stays unreachable, and dismissed by a
+//! report of the same incarnation that was requested after the break. The
+//! status of a loss merges to the larger of two values, so that neither the
+//! order of messages nor duplicates matter; the exception is a dismissed loss,
+//! which becomes pending again when the same process breaks another connection.
 
 mod arbiter;
+mod completion;
 mod effect;
 mod event;
 mod evidence;
@@ -25,7 +31,6 @@
 mod reduce;
 mod run;
 mod settings;
-mod soundness;
 mod state;
 mod suspect;
 mod verdict;
@@ -34,7 +39,7 @@
 pub use effect::{CrashEffect, CrashRefusal};
 pub use event::CrashEvent;
 pub use identity::{CrashTicket, EndpointIncarnation, EndpointLoss, RequestFingerprint};
-pub use loss::LossFate;
+pub use loss::LossStatus;
 pub use message::{CrashMessage, LossReport, PermitReply, SuspectReport};
 pub use object::{VerdictObject, VerdictRecord};
 pub use reduce::reduce;
--- a/crates/clementinepond_decide/src/crash/object.rs
+++ b/crates/clementinepond_decide/src/crash/object.rs
@@ -1,4 +1,4 @@
-//! The platform object of all verdicts.
+//! Platform object that stores all verdicts.
 
 use super::identity::RequestFingerprint;
 use super::verdict::Verdict;
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Verdict on one request, as it is stored.
+/// Stored verdict on one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerdictRecord {
-    /// Number of the verdict on this request; larger is newer.
+    /// Sequence number of the verdict on this request; larger is newer.
     pub round: u32,
     /// Whether an operator released the request.
     pub released: bool,
-    /// Endpoint processes that were lost before the verdict.
+    /// Number of losses counted against the request at the time of the verdict.
     pub lost: u32,
-    /// Time for which the verdict stood when it was written.
+    /// Time from the write of the object until the verdict expires.
     pub time_left: TimeSpan,
 }
 
@@ -24,7 +24,7 @@
 pub struct VerdictObject {
     /// VM that wrote the object.
     pub writer: VmId,
-    /// Verdicts by request.
+    /// Verdicts by request fingerprint.
     pub verdicts: BTreeMap<RequestFingerprint, VerdictRecord>,
 }
 
--- a/crates/clementinepond_decide/src/crash/permit.rs
+++ b/crates/clementinepond_decide/src/crash/permit.rs
@@ -1,6 +1,9 @@
-//! Where and when a request may run.
+//! Permits for suspects: where and when a request may run.
+//!
+//! A VM requests permits from the arbiter, which is the same VM or another one;
+//! this module holds both sides.
 
-use super::arbiter::RunOwner;
+use super::arbiter::RunKey;
 use super::effect::{CrashEffect, CrashRefusal};
 use super::guard;
 use super::identity::{CrashTicket, EndpointIncarnation, RequestFingerprint};
@@ -8,17 +11,17 @@
 use super::reduce::poison_refusal;
 use super::run::{InFlight, Permitted, RequestRun, RunEntry, Waiting};
 use super::state::CrashState;
-use super::suspect::Standing;
+use super::suspect::SuspectStatus;
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan, VmId};
 
-fn standing(state: &CrashState, fingerprint: RequestFingerprint) -> Standing {
+fn suspect_status(state: &CrashState, fingerprint: RequestFingerprint) -> SuspectStatus {
     state
         .suspects
-        .standing(fingerprint, &state.losses, &state.settings)
+        .suspect_status(fingerprint, &state.losses, &state.settings)
 }
 
-/// Decides about a run, or asks the arbiter.
-pub(crate) fn ask(
+/// Passes or refuses a run, or requests a permit for it.
+pub(crate) fn request_run(
     state: &mut CrashState,
     ticket: CrashTicket,
     fingerprint: RequestFingerprint,
@@ -26,13 +29,14 @@
     deadline: LocalTime,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    // A verdict may have expired before the losses that led to it.
-    let mut effects = guard::judge(state, &[fingerprint], now);
+    // A verdict may have expired before the losses that led to it, in which case
+    // the request is blocked again.
+    let mut effects = guard::evaluate(state, &[fingerprint], now);
     if let Some(retry_after) = state.verdicts.refused_for(fingerprint, now) {
         effects.push(poison_refusal(ticket, retry_after));
         return effects;
     }
-    if standing(state, fingerprint) == Standing::Sound || !state.settings.separate {
+    if suspect_status(state, fingerprint) == SuspectStatus::Cleared || !state.settings.separate {
         let avoid = state.all_occupied(now);
         effects.push(CrashEffect::Pass { ticket, avoid });
         return effects;
@@ -41,7 +45,7 @@
         candidates,
         deadline,
         next_send: now,
-        patience: now + state.settings.arbiter_wait,
+        arbiter_deadline: now + state.settings.arbiter_wait,
     };
     let run = RequestRun { fingerprint, stage };
     state.runs.insert(ticket, RunEntry::Waiting(run));
@@ -50,19 +54,20 @@
     effects
 }
 
-/// Gives a waiting run up, refuses it, or asks for its permit again.
+/// Refuses a waiting run that is blocked or past its deadline, or requests its
+/// permit again.
 fn advance(state: &mut CrashState, ticket: CrashTicket, now: LocalTime) -> Vec<CrashEffect> {
     let Some(RunEntry::Waiting(run)) = state.runs.get_mut(&ticket) else {
         return Vec::new();
     };
     let fingerprint = run.fingerprint;
     if let Some(retry_after) = state.verdicts.refused_for(fingerprint, now) {
-        let mut effects = over(state, ticket);
+        let mut effects = end_run(state, ticket);
         effects.push(poison_refusal(ticket, retry_after));
         return effects;
     }
     if now >= run.stage.deadline {
-        let mut effects = over(state, ticket);
+        let mut effects = end_run(state, ticket);
         effects.push(CrashEffect::Refused {
             ticket,
             retry_after: state.settings.pending_limit,
@@ -74,17 +79,17 @@
         return Vec::new();
     }
     run.stage.next_send = now + state.settings.resend_interval;
-    let message = CrashMessage::AskPermit {
+    let message = CrashMessage::RequestPermit {
         ticket,
         fingerprint,
         candidates: run.stage.candidates.clone(),
         suspects: state.suspects.reports(fingerprint),
         losses: state
             .losses
-            .reports(&state.suspects.open_losses(fingerprint)),
+            .reports(&state.suspects.uncleared_losses(fingerprint)),
         time_left: now.until(run.stage.deadline),
     };
-    let alone = now >= run.stage.patience;
+    let alone = now >= run.stage.arbiter_deadline;
     let to = if alone {
         state.vm.clone()
     } else {
@@ -93,8 +98,8 @@
     vec![CrashEffect::Send { to, message }]
 }
 
-/// Answers a request for a permit.
-pub(crate) fn permit_asked(
+/// Answers a permit request; queues the run if it has to wait.
+pub(crate) fn permit_requested(
     state: &mut CrashState,
     from: VmId,
     ticket: CrashTicket,
@@ -103,46 +108,47 @@
     time_left: TimeSpan,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    let owner = RunOwner { vm: from, ticket };
-    let reply = match state.permits.permitted(&owner) {
+    let key = RunKey { vm: from, ticket };
+    let reply = match state.permits.permitted_endpoint(&key) {
         Some(endpoint) => PermitReply::Run(endpoint),
-        None => decide(state, &owner, fingerprint, &candidates, now),
+        None => decide(state, &key, fingerprint, &candidates, now),
     };
     if reply == PermitReply::Wait {
         let deadline = now + time_left;
         state
             .permits
-            .wait(owner.clone(), fingerprint, candidates, deadline, now);
+            .enqueue(key.clone(), fingerprint, candidates, deadline, now);
     }
-    vec![permit_message(owner, reply)]
+    vec![permit_message(key, reply)]
 }
 
-fn permit_message(owner: RunOwner, reply: PermitReply) -> CrashEffect {
-    let ticket = owner.ticket;
+fn permit_message(key: RunKey, reply: PermitReply) -> CrashEffect {
+    let ticket = key.ticket;
     CrashEffect::Send {
-        to: owner.vm,
+        to: key.vm,
         message: CrashMessage::Permit { ticket, reply },
     }
 }
 
+/// Decides a permit request and records the permit if one is granted.
 fn decide(
     state: &mut CrashState,
-    owner: &RunOwner,
+    key: &RunKey,
     fingerprint: RequestFingerprint,
     candidates: &[EndpointId],
     now: LocalTime,
 ) -> PermitReply {
-    match standing(state, fingerprint) {
-        Standing::Sound => return PermitReply::Sound,
-        Standing::Poison | Standing::Undecided => return PermitReply::Wait,
-        Standing::Suspect if now < state.settled_at => return PermitReply::Wait,
-        Standing::Suspect => {}
+    match suspect_status(state, fingerprint) {
+        SuspectStatus::Cleared => return PermitReply::Cleared,
+        SuspectStatus::Poison | SuspectStatus::Undecided => return PermitReply::Wait,
+        SuspectStatus::Suspect if now < state.arbiter_ready_at => return PermitReply::Wait,
+        SuspectStatus::Suspect => {}
     }
     let (losses, settings) = (&state.losses, &state.settings);
     if !state.suspects.is_settled(fingerprint, settings, now) {
         return PermitReply::Wait;
     }
-    let crashes = |endpoint: &EndpointId| losses.own_crashes(endpoint);
+    let crashes = |endpoint: &EndpointId| losses.unexplained_crashes(endpoint);
     let is_likely = state.suspects.is_likely(fingerprint, losses, settings);
     let answering: Vec<EndpointId> = candidates
         .iter()
@@ -156,8 +162,8 @@
         return PermitReply::Wait;
     };
     let expiry = now + settings.permit_limit;
-    state.permits.occupy(
-        owner.clone(),
+    state.permits.insert(
+        key.clone(),
         fingerprint,
         endpoint.clone(),
         is_likely,
@@ -166,28 +172,29 @@
     PermitReply::Run(endpoint)
 }
 
-/// Gives permits to runs that waited.
-pub(crate) fn serve_waiters(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
+/// Grants permits to waiting runs where possible.
+pub(crate) fn grant_waiting(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
     let mut effects = Vec::new();
     let mut waiting = state.permits.waiting();
-    // The sooner the culprit is found, the sooner the others go on.
+    // Likely culprits go first: once the culprit is found, the other suspects are
+    // no longer held back.
     waiting.sort_by_key(|(_, waiter)| {
         let fingerprint = waiter.fingerprint;
         !state
             .suspects
             .is_likely(fingerprint, &state.losses, &state.settings)
     });
-    for (owner, waiter) in waiting {
-        let reply = decide(state, &owner, waiter.fingerprint, &waiter.candidates, now);
+    for (key, waiter) in waiting {
+        let reply = decide(state, &key, waiter.fingerprint, &waiter.candidates, now);
         if reply != PermitReply::Wait {
-            state.permits.stop_waiting(&owner);
-            effects.push(permit_message(owner, reply));
+            state.permits.remove_waiter(&key);
+            effects.push(permit_message(key, reply));
         }
     }
     effects
 }
 
-/// Takes the arbiter's answer.
+/// Handles the arbiter's answer to a permit request.
 pub(crate) fn permit_replied(
     state: &mut CrashState,
     from: VmId,
@@ -195,14 +202,14 @@
     reply: PermitReply,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    let patience = now + state.settings.arbiter_wait;
+    let arbiter_deadline = now + state.settings.arbiter_wait;
     let Some(RunEntry::Waiting(run)) = state.runs.get_mut(&ticket) else {
         let known = state.runs.contains_key(&ticket);
         return match reply {
-            // The run was given up before its permit came.
+            // The run ended before its permit arrived, so the permit is returned.
             PermitReply::Run(_) if !known => vec![CrashEffect::Send {
                 to: from,
-                message: run_over_message(state, ticket, None),
+                message: run_ended_message(state, ticket, None),
             }],
             _ => Vec::new(),
         };
@@ -211,24 +218,26 @@
     match reply {
         PermitReply::Wait => {
             if from != state.vm {
-                run.stage.patience = patience;
+                run.stage.arbiter_deadline = arbiter_deadline;
             }
             Vec::new()
         }
-        PermitReply::Sound if standing(state, fingerprint) == Standing::Sound => {
+        PermitReply::Cleared if suspect_status(state, fingerprint) == SuspectStatus::Cleared => {
             state.runs.remove(&ticket);
             let avoid = state.all_occupied(now);
             vec![CrashEffect::Pass { ticket, avoid }]
         }
-        // This VM knows more; the arbiter learns it by broadcast.
-        PermitReply::Sound => Vec::new(),
+        // This VM knows of a loss that the arbiter does not; the next permit
+        // request or broadcast sends it.
+        PermitReply::Cleared => Vec::new(),
         PermitReply::Run(endpoint) => {
-            let undecided = standing(state, fingerprint) == Standing::Undecided;
+            let undecided = suspect_status(state, fingerprint) == SuspectStatus::Undecided;
             if undecided || state.verdicts.is_refused(fingerprint, now) {
-                // The arbiter did not know of the latest loss yet.
+                // The arbiter did not know of the latest loss or verdict yet, so the
+                // permit is returned.
                 let mut effects = vec![CrashEffect::Send {
                     to: from,
-                    message: run_over_message(state, ticket, Some(fingerprint)),
+                    message: run_ended_message(state, ticket, Some(fingerprint)),
                 }];
                 effects.extend(advance(state, ticket, now));
                 return effects;
@@ -238,13 +247,13 @@
             };
             let run = RequestRun { fingerprint, stage };
             state.runs.insert(ticket, RunEntry::Permitted(run));
-            state.news.occupied_changed = true;
+            state.updates.occupied_changed = true;
             vec![CrashEffect::RunAlone { ticket, endpoint }]
         }
     }
 }
 
-/// Notes that a run is at an endpoint.
+/// Records that a run was sent to an endpoint.
 pub(crate) fn dispatched(
     state: &mut CrashState,
     ticket: CrashTicket,
@@ -260,11 +269,11 @@
     if permitted {
         return Vec::new();
     }
-    // It may have become a suspect between the decision and the dispatch.
+    // The request may have become a suspect between the decision and the dispatch.
     report_suspect_runs(state, &[fingerprint])
 }
 
-/// Tells the arbiter of runs whose requests became suspects.
+/// Registers runs in flight with the arbiter when their requests become suspects.
 pub(crate) fn report_suspect_runs(
     state: &mut CrashState,
     fingerprints: &[RequestFingerprint],
@@ -272,7 +281,7 @@
     let suspects: Vec<RequestFingerprint> = fingerprints
         .iter()
         .copied()
-        .filter(|&fingerprint| standing(state, fingerprint) != Standing::Sound)
+        .filter(|&fingerprint| suspect_status(state, fingerprint) != SuspectStatus::Cleared)
         .collect();
     if suspects.is_empty() || !state.settings.separate {
         return Vec::new();
@@ -283,11 +292,11 @@
         let RunEntry::InFlight(run) = entry else {
             continue;
         };
-        if run.stage.announced || !suspects.contains(&run.fingerprint) {
+        if run.stage.is_registered || !suspects.contains(&run.fingerprint) {
             continue;
         }
-        run.stage.announced = true;
-        state.news.occupied_changed = true;
+        run.stage.is_registered = true;
+        state.updates.occupied_changed = true;
         effects.push(running_message(&to, *ticket, run));
     }
     effects
@@ -304,7 +313,8 @@
     }
 }
 
-/// Tells a new arbiter of every run that the former one counted.
+/// Reports every registered or permitted run to the arbiter, to renew its permit or
+/// to inform a new arbiter.
 pub(crate) fn report_runs(state: &CrashState) -> Vec<CrashEffect> {
     let to = state.arbiter();
     let mut effects = Vec::new();
@@ -319,7 +329,7 @@
                     endpoint: run.stage.endpoint.clone(),
                 },
             }),
-            RunEntry::InFlight(run) if run.stage.announced => {
+            RunEntry::InFlight(run) if run.stage.is_registered => {
                 effects.push(running_message(&to, *ticket, run));
             }
             RunEntry::InFlight(_) => {}
@@ -328,7 +338,7 @@
     effects
 }
 
-/// Counts a run of another VM.
+/// Records the permit of a run that a VM reports as running.
 pub(crate) fn running(
     state: &mut CrashState,
     from: VmId,
@@ -337,60 +347,61 @@
     endpoint: EndpointId,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    let owner = RunOwner { vm: from, ticket };
+    let key = RunKey { vm: from, ticket };
     let expiry = now + state.settings.permit_limit;
     let is_likely = state
         .suspects
         .is_likely(fingerprint, &state.losses, &state.settings);
     state
         .permits
-        .occupy(owner, fingerprint, endpoint, is_likely, expiry);
+        .insert(key, fingerprint, endpoint, is_likely, expiry);
     Vec::new()
 }
 
-/// Frees the endpoint of a run of another VM.
-pub(crate) fn run_over(
+/// Removes the permit of a run that ended and grants permits to waiting runs.
+pub(crate) fn run_ended(
     state: &mut CrashState,
     from: VmId,
     ticket: CrashTicket,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    state.permits.remove(&RunOwner { vm: from, ticket });
-    serve_waiters(state, now)
+    state.permits.remove(&RunKey { vm: from, ticket });
+    grant_waiting(state, now)
 }
 
-fn run_over_message(
+fn run_ended_message(
     state: &CrashState,
     ticket: CrashTicket,
     fingerprint: Option<RequestFingerprint>,
 ) -> CrashMessage {
     let suspects = fingerprint.map_or_else(Vec::new, |one| state.suspects.reports(one));
-    let open = fingerprint.map_or_else(Vec::new, |one| state.suspects.open_losses(one));
-    CrashMessage::RunOver {
+    let open = fingerprint.map_or_else(Vec::new, |one| state.suspects.uncleared_losses(one));
+    CrashMessage::RunEnded {
         ticket,
         suspects,
         losses: state.losses.reports(&open),
     }
 }
 
-/// Ends a run and frees its endpoint.
-pub(crate) fn over(state: &mut CrashState, ticket: CrashTicket) -> Vec<CrashEffect> {
+/// Removes a run and notifies the arbiter if the arbiter knows of it.
+pub(crate) fn end_run(state: &mut CrashState, ticket: CrashTicket) -> Vec<CrashEffect> {
     let run = state.runs.remove(&ticket);
     let fingerprint = run.as_ref().map(RunEntry::fingerprint);
     let counted = match run {
         None => false,
-        Some(RunEntry::InFlight(run)) => run.stage.announced,
+        Some(RunEntry::InFlight(run)) => run.stage.is_registered,
         Some(RunEntry::Waiting(_) | RunEntry::Permitted(_)) => true,
     };
     if !counted {
         return Vec::new();
     }
-    state.news.occupied_changed = true;
-    let message = run_over_message(state, ticket, fingerprint);
+    state.updates.occupied_changed = true;
+    let message = run_ended_message(state, ticket, fingerprint);
     let arbiter = state.arbiter();
     let mut effects = Vec::new();
     if arbiter != state.vm {
-        // This VM may have decided alone while the arbiter was away.
+        // This VM may have granted the permit itself while the arbiter was
+        // unreachable.
         effects.push(CrashEffect::Send {
             to: state.vm.clone(),
             message: message.clone(),
@@ -403,7 +414,7 @@
     effects
 }
 
-/// Decides anew about the waiting runs of a request.
+/// Advances the waiting runs of a request.
 pub(crate) fn advance_waiting(
     state: &mut CrashState,
     fingerprint: RequestFingerprint,
@@ -421,7 +432,7 @@
         .collect()
 }
 
-/// Repeats what is unanswered.
+/// Advances all waiting runs and grants permits that became possible.
 pub(crate) fn tick(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
     let waiting: Vec<CrashTicket> = state
         .runs
@@ -433,6 +444,6 @@
     for ticket in waiting {
         effects.extend(advance(state, ticket, now));
     }
-    effects.extend(serve_waiters(state, now));
+    effects.extend(grant_waiting(state, now));
     effects
 }
--- a/crates/clementinepond_decide/src/crash/reduce.rs
+++ b/crates/clementinepond_decide/src/crash/reduce.rs
@@ -1,4 +1,4 @@
-//! From an event to effects.
+//! Reducer of the crash guard.
 
 use super::effect::{CrashEffect, CrashRefusal};
 use super::event::CrashEvent;
@@ -10,16 +10,16 @@
 use clementinepond_types::{DataCentreId, Epoch, LocalTime, TimeSpan, VmId};
 use std::collections::VecDeque;
 
-/// Time between two searches for what expired.
+/// Time between two removals of expired entries, which also renew permits.
 const SWEEP_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// Applies one event.
+/// Applies one event to the state and returns the effects to carry out.
 pub fn reduce(state: &mut CrashState, event: CrashEvent, now: LocalTime) -> Vec<CrashEffect> {
     let mut queue: VecDeque<CrashEffect> = apply(state, event, now).into();
     let mut effects = Vec::new();
     while let Some(effect) = queue.pop_front() {
         match effect {
-            // The arbiter asks itself without the network.
+            // Messages that the arbiter sends to itself bypass the network.
             CrashEffect::Send { to, message } if to == state.vm => {
                 queue.extend(received(state, to, message, now));
             }
@@ -32,12 +32,12 @@
 
 fn apply(state: &mut CrashState, event: CrashEvent, now: LocalTime) -> Vec<CrashEffect> {
     match event {
-        CrashEvent::Ask {
+        CrashEvent::RunRequested {
             ticket,
             fingerprint,
             candidates,
             deadline,
-        } => permit::ask(state, ticket, fingerprint, candidates, deadline, now),
+        } => permit::request_run(state, ticket, fingerprint, candidates, deadline, now),
         CrashEvent::Dispatched {
             ticket,
             fingerprint,
@@ -45,14 +45,16 @@
             incarnation,
         } => permit::dispatched(state, ticket, fingerprint, endpoint, incarnation, now),
         CrashEvent::Completed { ticket } => guard::completed(state, ticket, now),
-        CrashEvent::Stopped { ticket } => permit::over(state, ticket),
+        CrashEvent::Stopped { ticket } => permit::end_run(state, ticket),
         CrashEvent::StreamBroken { ticket } => guard::stream_broken(state, ticket, now),
-        CrashEvent::EndpointSeen {
+        CrashEvent::EndpointReported {
             endpoint,
             incarnation,
             asked_at,
-        } => guard::endpoint_seen(state, &endpoint, incarnation, asked_at, now),
-        CrashEvent::EndpointLost { endpoint } => guard::endpoint_lost(state, &endpoint, now),
+        } => guard::endpoint_reported(state, &endpoint, incarnation, asked_at, now),
+        CrashEvent::EndpointUnreachable { endpoint } => {
+            guard::endpoint_unreachable(state, &endpoint, now)
+        }
         CrashEvent::Received { from, message } => received(state, from, message, now),
         CrashEvent::RosterChanged {
             data_centre,
@@ -83,9 +85,9 @@
                 let until = now + state.settings.permit_limit;
                 state.occupied.insert(from, (endpoints, until));
             }
-            guard::announced(state, losses, suspects, verdicts, now)
+            guard::merge_announcement(state, losses, suspects, verdicts, now)
         }
-        CrashMessage::AskPermit {
+        CrashMessage::RequestPermit {
             ticket,
             fingerprint,
             candidates,
@@ -93,8 +95,8 @@
             losses,
             time_left,
         } => {
-            let mut effects = guard::announced(state, losses, suspects, Vec::new(), now);
-            effects.extend(permit::permit_asked(
+            let mut effects = guard::merge_announcement(state, losses, suspects, Vec::new(), now);
+            effects.extend(permit::permit_requested(
                 state,
                 from,
                 ticket,
@@ -113,14 +115,15 @@
             fingerprint,
             endpoint,
         } => permit::running(state, from, ticket, fingerprint, endpoint, now),
-        CrashMessage::RunOver {
+        CrashMessage::RunEnded {
             ticket,
             suspects,
             losses,
         } => {
-            // The next copy must not run before the end of this one is known.
-            let mut effects = guard::announced(state, losses, suspects, Vec::new(), now);
-            effects.extend(permit::run_over(state, from, ticket, now));
+            // The outcome of this run is merged before its permit is removed, so
+            // that the next copy is decided with it.
+            let mut effects = guard::merge_announcement(state, losses, suspects, Vec::new(), now);
+            effects.extend(permit::run_ended(state, from, ticket, now));
             effects
         }
     }
@@ -138,12 +141,12 @@
         return Vec::new();
     }
     let former = state.arbiter();
-    let gone: Vec<VmId> = known.map_or_else(Vec::new, |(_, known)| {
-        let gone = known.iter().filter(|vm| !members.contains(vm));
-        gone.cloned().collect()
+    let removed: Vec<VmId> = known.map_or_else(Vec::new, |(_, known)| {
+        let removed = known.iter().filter(|vm| !members.contains(vm));
+        removed.cloned().collect()
     });
     state.rosters.insert(data_centre, (epoch, members));
-    for vm in &gone {
+    for vm in &removed {
         state.permits.remove_vm(vm);
     }
     let arbiter = state.arbiter();
@@ -151,8 +154,9 @@
         return Vec::new();
     }
     if arbiter == state.vm {
-        // Runs that the former arbiter permitted are reported first.
-        state.settled_at = now + state.settings.arbiter_wait;
+        // Grants no permits until other VMs had time to report the runs that the
+        // former arbiter permitted.
+        state.arbiter_ready_at = now + state.settings.arbiter_wait;
     }
     permit::report_runs(state)
 }
@@ -167,7 +171,7 @@
     effects
 }
 
-/// Refuses a run because of a verdict.
+/// Returns the effect that refuses a run of a blocked request.
 pub(super) fn poison_refusal(
     ticket: super::identity::CrashTicket,
     retry_after: TimeSpan,
--- a/crates/clementinepond_decide/src/crash/run.rs
+++ b/crates/clementinepond_decide/src/crash/run.rs
@@ -1,31 +1,33 @@
-//! Runs that this VM asked for or has in flight.
+//! Runs of this VM that wait for a permit, hold one, or are in flight.
 
 use super::identity::{EndpointIncarnation, EndpointLoss, RequestFingerprint};
 use clementinepond_types::{EndpointId, LocalTime};
 
-/// The run waits for the arbiter.
+/// Stage: waiting for a permit.
 #[derive(Debug, Clone)]
 pub(crate) struct Waiting {
     pub(crate) candidates: Vec<EndpointId>,
     pub(crate) deadline: LocalTime,
     pub(crate) next_send: LocalTime,
-    /// Moment after which this VM decides alone.
-    pub(crate) patience: LocalTime,
+    /// Time after which this VM decides without the arbiter; postponed by each answer
+    /// of another VM.
+    pub(crate) arbiter_deadline: LocalTime,
 }
 
-/// The run may be sent to one endpoint.
+/// Stage: may be sent to one endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct Permitted {
     pub(crate) endpoint: EndpointId,
 }
 
-/// The run is at an endpoint.
+/// Stage: in flight at an endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct InFlight {
+    /// Process that runs the request; counted as lost if the connection breaks.
     pub(crate) loss: EndpointLoss,
     pub(crate) started_at: LocalTime,
-    /// Whether the arbiter counts the run.
-    pub(crate) announced: bool,
+    /// Whether the run is registered with the arbiter.
+    pub(crate) is_registered: bool,
 }
 
 impl InFlight {
@@ -33,7 +35,7 @@
         endpoint: EndpointId,
         incarnation: EndpointIncarnation,
         started_at: LocalTime,
-        announced: bool,
+        is_registered: bool,
     ) -> Self {
         Self {
             loss: EndpointLoss {
@@ -41,19 +43,19 @@
                 incarnation,
             },
             started_at,
-            announced,
+            is_registered,
         }
     }
 }
 
-/// One run in a stage of its life cycle.
+/// Run of a request, in stage `S`.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestRun<S> {
     pub(crate) fingerprint: RequestFingerprint,
     pub(crate) stage: S,
 }
 
-/// One run in any stage.
+/// Run of a request in any stage.
 #[derive(Debug, Clone)]
 pub(crate) enum RunEntry {
     Waiting(RequestRun<Waiting>),
--- a/crates/clementinepond_decide/src/crash/settings.rs
+++ b/crates/clementinepond_decide/src/crash/settings.rs
@@ -3,23 +3,23 @@
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Who decides where a suspect may run.
+/// How VMs share knowledge and decide where a suspect may run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrashSharing {
-    /// Each VM alone, without telling the others.
+    /// Each VM decides from its own observations; nothing is broadcast or stored.
     Isolated,
-    /// Each VM alone, with the knowledge of all.
+    /// Each VM decides by itself from the observations of all VMs.
     Broadcast,
-    /// One VM of the fleet, with the knowledge of all.
+    /// One VM decides for the fleet from the observations of all VMs.
     #[default]
     Arbiter,
 }
 
-/// Guard that a test switches off, to show that a measure needs it.
+/// Rule that a test disables to show that the test detects its absence.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CrashMutation {
-    /// Every guard is on.
+    /// Every rule is enabled.
     #[default]
     None,
     /// A broken connection counts as a confirmed loss.
@@ -38,53 +38,58 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CrashSettings {
-    /// Who decides where a suspect may run.
+    /// How VMs share knowledge and decide where a suspect may run.
     pub sharing: CrashSharing,
-    /// Whether suspects run apart from each other.
+    /// Whether suspects need a permit; if not, they run like other requests.
     pub separate: bool,
-    /// Confirmed losses before a request can be refused.
+    /// Confirmed losses from which a request can be blocked.
     pub loss_limit: usize,
-    /// Evidence before a request is refused, in thousandths of a bit.
+    /// Evidence from which a request is blocked, in thousandths of a bit.
     pub evidence_threshold: u64,
-    /// Mean time between crashes of a sound endpoint.
+    /// Mean time between crashes that is assumed for an endpoint without known crashes.
     pub crash_interval: TimeSpan,
-    /// Time over which an endpoint's crashes are counted.
+    /// Time for which a loss is remembered, if longer than `suspect_lifetime`; also
+    /// part of the observation time behind an endpoint's crash rate.
     pub crash_window: TimeSpan,
-    /// Crashes beyond those of the soundest candidate that bar an endpoint.
+    /// Unexplained crashes beyond those of the best candidate from which an endpoint
+    /// gets no suspects.
     pub flaky_limit: usize,
-    /// Run time at a loss beyond which a request is a less likely culprit.
+    /// Run time at a loss from which a request is a less likely culprit.
     pub fresh_limit: TimeSpan,
-    /// Less likely culprits that may run on one endpoint together.
+    /// Largest number of less likely culprits on one endpoint at a time.
     pub group_limit: usize,
-    /// Time for which a suspect is remembered.
+    /// Time for which a suspect is remembered after its last new loss.
     pub suspect_lifetime: TimeSpan,
-    /// Time for which a verdict stands.
+    /// Time after which a verdict or a release expires.
     pub verdict_lifetime: TimeSpan,
-    /// Time after which a pending loss counts as confirmed.
+    /// Time after which a pending loss is confirmed; also the retry time of runs that
+    /// got no permit.
     pub pending_limit: TimeSpan,
-    /// Time for which a permit stands without renewal.
+    /// Time after which a permit expires without renewal.
     pub permit_limit: TimeSpan,
-    /// Wait for reports of other copies before the first permit of a suspect.
+    /// Wait before the first permit of a suspect, in which other VMs report copies in
+    /// flight.
     pub report_wait: TimeSpan,
-    /// Time for which a completed run speaks for its request.
+    /// Time for which a completed run can clear its request of a later loss.
     pub sound_lifetime: TimeSpan,
-    /// Most losses that completed runs of a request speak against.
+    /// Largest number of later losses that completed runs can clear a request of.
     pub sound_credits: usize,
-    /// Most completed requests that are remembered.
+    /// Largest number of completed runs that are remembered.
     pub sound_limit: usize,
-    /// Wait for the arbiter before a VM decides alone.
+    /// Wait for an answer of the arbiter before a VM decides by itself; also the wait
+    /// of a new arbiter before its first permit.
     pub arbiter_wait: TimeSpan,
-    /// Time between repeats of a request for a permit.
+    /// Time between retries of a permit request.
     pub resend_interval: TimeSpan,
     /// Shortest time between two broadcasts of one VM.
     pub announce_gap: TimeSpan,
-    /// Shortest time between two writes of the verdicts.
+    /// Shortest time between two reads or writes of the verdict object.
     pub store_gap: TimeSpan,
-    /// Most suspects that are remembered.
+    /// Largest number of suspects that are remembered.
     pub suspect_limit: usize,
-    /// Most verdicts that are kept.
+    /// Largest number of verdicts that are remembered.
     pub verdict_limit: usize,
-    /// Guard that is off.
+    /// Rule that a test disabled.
     #[serde(skip)]
     pub mutation: CrashMutation,
 }
--- a/crates/clementinepond_decide/src/crash/state.rs
+++ b/crates/clementinepond_decide/src/crash/state.rs
@@ -1,32 +1,32 @@
-//! What one VM remembers about crashes.
+//! State of the crash guard of one VM.
 
 use super::arbiter::PermitTable;
+use super::completion::CompletionTable;
 use super::identity::{CrashTicket, RequestFingerprint};
 use super::loss::LossTable;
 use super::message::{LossReport, SuspectReport};
 use super::run::RunEntry;
 use super::settings::{CrashSettings, CrashSharing};
-use super::soundness::SoundnessTable;
 use super::suspect::SuspectTable;
 use super::verdict::{Verdict, VerdictTable, VerdictView};
 use clementinepond_types::{DataCentreId, EndpointId, Epoch, LocalTime, ObjectVersion, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Name that selects the arbiter among the VMs.
+/// Prefix of the hash input that selects the arbiter among the VMs.
 const ARBITER_SEED: &str = "crash-arbiter";
 
-/// News that wait for the next broadcast.
+/// Updates that wait for the next broadcast.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct NewsQueue {
+pub(crate) struct UpdateQueue {
     pub(crate) losses: Vec<LossReport>,
     pub(crate) suspects: Vec<SuspectReport>,
     pub(crate) verdicts: Vec<Verdict>,
-    /// Whether the endpoints where this VM runs suspects changed.
+    /// Whether the list of endpoints where this VM runs suspects is to be sent.
     pub(crate) occupied_changed: bool,
     pub(crate) next_send: LocalTime,
 }
 
-impl NewsQueue {
+impl UpdateQueue {
     pub(crate) fn is_empty(&self) -> bool {
         self.losses.is_empty()
             && self.suspects.is_empty()
@@ -35,7 +35,7 @@
     }
 }
 
-/// The verdict object as this VM knows it.
+/// State of the synchronization with the stored verdict object.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct VerdictStore {
     pub(crate) version: Option<ObjectVersion>,
@@ -45,18 +45,18 @@
     pub(crate) next_call: LocalTime,
 }
 
-/// Numbers for metrics and the operator's view.
+/// Counts for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashCounts {
     /// Runs in flight at endpoints.
     pub in_flight: usize,
     /// Runs that wait for a permit.
     pub waiting: usize,
-    /// Lost endpoint processes that are remembered.
+    /// Endpoint processes with a remembered loss, dismissed ones included.
     pub losses: usize,
-    /// Requests that are remembered as suspects.
+    /// Requests with remembered losses, cleared ones included.
     pub suspects: usize,
-    /// Permits that this VM gave.
+    /// Permits that this VM granted or that were registered with it.
     pub permits: usize,
 }
 
@@ -71,18 +71,18 @@
     pub(crate) suspects: SuspectTable,
     pub(crate) verdicts: VerdictTable,
     pub(crate) permits: PermitTable,
-    pub(crate) soundness: SoundnessTable,
-    /// Endpoints where other VMs run suspects, and until when that is sure.
+    pub(crate) completions: CompletionTable,
+    /// Endpoints where other VMs run suspects, and the expiry of that information.
     pub(crate) occupied: BTreeMap<VmId, (Vec<EndpointId>, LocalTime)>,
-    pub(crate) news: NewsQueue,
+    pub(crate) updates: UpdateQueue,
     pub(crate) store: VerdictStore,
-    /// Moment from which this VM gives permits as the arbiter.
-    pub(crate) settled_at: LocalTime,
+    /// Time from which this VM grants permits.
+    pub(crate) arbiter_ready_at: LocalTime,
     pub(crate) next_sweep: LocalTime,
 }
 
 impl CrashState {
-    /// Starts without knowledge.
+    /// Creates a crash guard without rosters, losses or verdicts.
     #[must_use]
     pub fn new(settings: CrashSettings, vm: VmId) -> Self {
         Self {
@@ -94,28 +94,28 @@
             suspects: SuspectTable::default(),
             verdicts: VerdictTable::default(),
             permits: PermitTable::default(),
-            soundness: SoundnessTable::default(),
+            completions: CompletionTable::default(),
             occupied: BTreeMap::new(),
-            news: NewsQueue::default(),
+            updates: UpdateQueue::default(),
             store: VerdictStore::default(),
-            settled_at: LocalTime::ORIGIN,
+            arbiter_ready_at: LocalTime::ORIGIN,
             next_sweep: LocalTime::ORIGIN,
         }
     }
 
-    /// Returns the verdicts for an operator.
+    /// Returns the verdicts in the form shown to operators.
     #[must_use]
     pub fn verdicts(&self, now: LocalTime) -> Vec<VerdictView> {
         self.verdicts.views(now)
     }
 
-    /// Returns whether a request is refused.
+    /// Returns whether a request is blocked by an unexpired verdict.
     #[must_use]
     pub fn is_refused(&self, fingerprint: RequestFingerprint, now: LocalTime) -> bool {
         self.verdicts.is_refused(fingerprint, now)
     }
 
-    /// Returns numbers for metrics.
+    /// Returns the counts for metrics.
     #[must_use]
     pub fn counts(&self) -> CrashCounts {
         let in_flight = |entry: &&RunEntry| matches!(entry, RunEntry::InFlight(_));
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns every other VM that the rosters name.
+    /// Returns every other VM in the rosters.
     pub(crate) fn peers(&self) -> Vec<VmId> {
         let members = self.rosters.values().flat_map(|(_, members)| members);
         members.filter(|vm| **vm != self.vm).cloned().collect()
@@ -139,7 +139,9 @@
     pub(crate) fn own_occupied(&self) -> Vec<EndpointId> {
         let occupied = self.runs.values().filter_map(|entry| match entry {
             RunEntry::Permitted(run) => Some(run.stage.endpoint.clone()),
-            RunEntry::InFlight(run) if run.stage.announced => Some(run.stage.loss.endpoint.clone()),
+            RunEntry::InFlight(run) if run.stage.is_registered => {
+                Some(run.stage.loss.endpoint.clone())
+            }
             RunEntry::Waiting(_) | RunEntry::InFlight(_) => None,
         });
         let distinct: BTreeSet<EndpointId> = occupied.collect();
@@ -155,7 +157,8 @@
         all.into_iter().collect()
     }
 
-    /// Returns the VM that gives permits.
+    /// Returns the VM that grants permits: the same VM of all rosters at every VM with
+    /// [`CrashSharing::Arbiter`], otherwise this VM.
     pub(crate) fn arbiter(&self) -> VmId {
         if self.settings.sharing != CrashSharing::Arbiter {
             return self.vm.clone();
--- a/crates/clementinepond_decide/src/crash/suspect.rs
+++ b/crates/clementinepond_decide/src/crash/suspect.rs
@@ -1,53 +1,56 @@
 //! Requests that were in flight at lost endpoints.
 
 use super::identity::{EndpointLoss, RequestFingerprint};
-use super::loss::{LossFate, LossTable};
+use super::loss::{LossStatus, LossTable};
 use super::message::SuspectReport;
 use super::settings::CrashSettings;
 use clementinepond_types::{LocalTime, TimeSpan};
 use std::collections::BTreeMap;
 
-/// One loss held against one request.
+/// Loss that counts against a request.
 #[derive(Debug, Clone)]
 pub(crate) struct SuspectLoss {
+    /// Weight of the loss, in thousandths of a bit.
     pub(crate) evidence: u64,
-    /// Shortest time for which a run had lasted.
+    /// Shortest reported run time of the request at the loss.
     pub(crate) run_time: TimeSpan,
-    /// Whether the request completed a run afterwards.
+    /// Whether the request was cleared of the loss.
     pub(crate) cleared: bool,
 }
 
-/// One request that was in flight at lost endpoints.
+/// Losses of one request.
 #[derive(Debug, Clone)]
 pub(crate) struct SuspectEntry {
     pub(crate) losses: BTreeMap<EndpointLoss, SuspectLoss>,
     pub(crate) expiry: LocalTime,
-    /// Moment of the first loss that this VM learned of.
-    since: LocalTime,
+    /// Time at which this VM learned of the first loss.
+    first_loss_at: LocalTime,
 }
 
-/// Standing of a request.
+/// Status of a request, derived from its uncleared losses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// Nothing is held against it.
-    Sound,
-    /// It runs apart from other suspects.
+pub(crate) enum SuspectStatus {
+    /// No loss counts against the request.
+    Cleared,
+    /// The request needs a permit to run.
     Suspect,
-    /// A pending loss decides about it.
+    /// Pending losses may raise the confirmed ones to `loss_limit`; no run until
+    /// they are decided.
     Undecided,
-    /// It is to be refused.
+    /// The request is to be blocked.
     Poison,
 }
 
-/// Requests that this VM holds suspect.
+/// Requests with losses, by fingerprint.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct SuspectTable {
     entries: BTreeMap<RequestFingerprint, SuspectEntry>,
 }
 
 impl SuspectTable {
-    /// Holds a loss against a request; returns whether that is news.
-    pub(crate) fn accuse(
+    /// Counts a loss against a request; returns whether the loss is new or has more
+    /// evidence than before.
+    pub(crate) fn record_loss(
         &mut self,
         fingerprint: RequestFingerprint,
         loss: &EndpointLoss,
@@ -60,30 +63,31 @@
         let entry = self.entries.entry(fingerprint).or_insert(SuspectEntry {
             losses: BTreeMap::new(),
             expiry,
-            since: now,
+            first_loss_at: now,
         });
-        let mut is_news = false;
-        let held = entry.losses.entry(loss.clone()).or_insert_with(|| {
-            is_news = true;
+        let mut is_new = false;
+        let record = entry.losses.entry(loss.clone()).or_insert_with(|| {
+            is_new = true;
             SuspectLoss {
                 evidence,
                 run_time,
                 cleared: false,
             }
         });
-        held.run_time = held.run_time.min(run_time);
-        if evidence > held.evidence {
-            held.evidence = evidence;
-            is_news = true;
+        record.run_time = record.run_time.min(run_time);
+        if evidence > record.evidence {
+            record.evidence = evidence;
+            is_new = true;
         }
-        if is_news {
+        if is_new {
             entry.expiry = expiry;
         }
         self.trim(settings, fingerprint);
-        is_news
+        is_new
     }
 
-    /// Drops the entry that expires first when there are too many.
+    /// Evicts the entry that expires first, other than the newest, when there are more
+    /// than `suspect_limit`.
     fn trim(&mut self, settings: &CrashSettings, newest: RequestFingerprint) {
         if self.entries.len() <= settings.suspect_limit {
             return;
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Clears a request of given losses; returns whether that is news.
+    /// Clears a request of the given losses; returns whether any was uncleared.
     pub(crate) fn clear(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -111,33 +115,33 @@
         let entry = self.entries.entry(fingerprint).or_insert(SuspectEntry {
             losses: BTreeMap::new(),
             expiry,
-            since: now,
+            first_loss_at: now,
         });
-        let mut is_news = false;
+        let mut is_new = false;
         for loss in losses {
-            let held = entry.losses.entry(loss.clone()).or_insert(SuspectLoss {
+            let record = entry.losses.entry(loss.clone()).or_insert(SuspectLoss {
                 evidence: 0,
                 run_time: TimeSpan::ZERO,
                 cleared: false,
             });
-            is_news |= !held.cleared;
-            held.cleared = true;
+            is_new |= !record.cleared;
+            record.cleared = true;
         }
         self.trim(settings, fingerprint);
-        is_news
+        is_new
     }
 
-    /// Returns the losses that are held against a request.
-    pub(crate) fn open_losses(&self, fingerprint: RequestFingerprint) -> Vec<EndpointLoss> {
+    /// Returns the losses that count against a request.
+    pub(crate) fn uncleared_losses(&self, fingerprint: RequestFingerprint) -> Vec<EndpointLoss> {
         self.entries
             .get(&fingerprint)
             .map_or_else(Vec::new, |entry| {
-                let open = entry.losses.iter().filter(|(_, held)| !held.cleared);
+                let open = entry.losses.iter().filter(|(_, record)| !record.cleared);
                 open.map(|(loss, _)| loss.clone()).collect()
             })
     }
 
-    /// Forgets a loss that did not take place.
+    /// Removes a dismissed loss from all requests.
     pub(crate) fn forget_loss(&mut self, loss: &EndpointLoss) {
         for entry in self.entries.values_mut() {
             entry.losses.remove(loss);
@@ -149,11 +153,11 @@
         self.entries.remove(&fingerprint);
     }
 
-    /// Returns the requests that a loss is held against.
-    pub(crate) fn accused_of(&self, loss: &EndpointLoss) -> Vec<RequestFingerprint> {
+    /// Returns the requests that a loss counts against.
+    pub(crate) fn suspects_of(&self, loss: &EndpointLoss) -> Vec<RequestFingerprint> {
         self.entries
             .iter()
-            .filter(|(_, entry)| entry.losses.get(loss).is_some_and(|held| !held.cleared))
+            .filter(|(_, entry)| entry.losses.get(loss).is_some_and(|record| !record.cleared))
             .map(|(fingerprint, _)| *fingerprint)
             .collect()
     }
@@ -166,7 +170,8 @@
         self.entries.len()
     }
 
-    /// Returns whether other VMs had time to report runs of a request.
+    /// Returns whether other VMs had time to report runs of a request, which is
+    /// `report_wait` after the first loss.
     pub(crate) fn is_settled(
         &self,
         fingerprint: RequestFingerprint,
@@ -174,13 +179,11 @@
         now: LocalTime,
     ) -> bool {
         let entry = self.entries.get(&fingerprint);
-        entry.is_none_or(|entry| now >= entry.since + settings.report_wait)
+        entry.is_none_or(|entry| now >= entry.first_loss_at + settings.report_wait)
     }
 
-    /// Returns whether a request is a likely culprit.
-    ///
-    /// It is if it had run for a short time at a loss that no refused request
-    /// explains.
+    /// Returns whether a request is a likely culprit: it had run for less than
+    /// `fresh_limit` at a loss that no blocked request explains.
     pub(crate) fn is_likely(
         &self,
         fingerprint: RequestFingerprint,
@@ -190,58 +193,59 @@
         let Some(entry) = self.entries.get(&fingerprint) else {
             return false;
         };
-        entry.losses.iter().any(|(loss, held)| {
+        entry.losses.iter().any(|(loss, record)| {
             let known = losses.get(loss);
             let is_open =
-                known.is_some_and(|known| known.fate != LossFate::Alive && !known.explained);
-            is_open && !held.cleared && held.run_time < settings.fresh_limit
+                known.is_some_and(|known| known.status != LossStatus::Alive && !known.explained);
+            is_open && !record.cleared && record.run_time < settings.fresh_limit
         })
     }
 
-    /// Returns what is held against a request, for another VM.
+    /// Returns the losses of a request for another VM, cleared ones included.
     pub(crate) fn reports(&self, fingerprint: RequestFingerprint) -> Vec<SuspectReport> {
         self.entries
             .get(&fingerprint)
             .map_or_else(Vec::new, |entry| {
                 let losses = entry.losses.iter();
                 losses
-                    .map(|(loss, held)| SuspectReport {
+                    .map(|(loss, record)| SuspectReport {
                         fingerprint,
                         loss: loss.clone(),
-                        evidence: held.evidence,
-                        run_time: held.run_time,
-                        cleared: held.cleared,
+                        evidence: record.evidence,
+                        run_time: record.run_time,
+                        cleared: record.cleared,
                     })
                     .collect()
             })
     }
 
-    /// Judges a request by the losses that are held against it.
-    pub(crate) fn standing(
+    /// Returns the status of a request.
+    pub(crate) fn suspect_status(
         &self,
         fingerprint: RequestFingerprint,
         losses: &LossTable,
         settings: &CrashSettings,
-    ) -> Standing {
+    ) -> SuspectStatus {
         let Some(entry) = self.entries.get(&fingerprint) else {
-            return Standing::Sound;
+            return SuspectStatus::Cleared;
         };
         let tally = tally(entry, losses);
         let confirmed = tally.confirmed >= settings.loss_limit;
         if confirmed && tally.evidence >= settings.evidence_threshold {
-            return Standing::Poison;
+            return SuspectStatus::Poison;
         }
         let possible = tally.confirmed + tally.pending;
         if tally.pending > 0 && possible >= settings.loss_limit {
-            return Standing::Undecided;
+            return SuspectStatus::Undecided;
         }
         if possible > 0 {
-            return Standing::Suspect;
+            return SuspectStatus::Suspect;
         }
-        Standing::Sound
+        SuspectStatus::Cleared
     }
 }
 
+/// Number and evidence of the losses that count against a request.
 struct LossTally {
     confirmed: usize,
     pending: usize,
@@ -254,16 +258,16 @@
         pending: 0,
         evidence: 0,
     };
-    for (loss, held) in entry.losses.iter().filter(|(_, held)| !held.cleared) {
+    for (loss, record) in entry.losses.iter().filter(|(_, record)| !record.cleared) {
         let Some(known) = losses.get(loss) else {
             continue;
         };
-        if known.fate == LossFate::Alive {
+        if known.status == LossStatus::Alive {
             continue;
         }
-        if known.fate.is_confirmed() {
+        if known.status.is_confirmed() {
             tally.confirmed += 1;
-            tally.evidence += held.evidence;
+            tally.evidence += record.evidence;
         } else {
             tally.pending += 1;
         }
--- a/crates/clementinepond_decide/src/crash/verdict.rs
+++ b/crates/clementinepond_decide/src/crash/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts: requests that are refused.
+//! Verdicts: requests that are blocked, and their releases.
 
 use super::identity::RequestFingerprint;
 use super::settings::{CrashMutation, CrashSettings};
@@ -6,33 +6,33 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Verdict on one request, as it travels.
+/// Verdict on one request, as VMs exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Number of the verdict on this request; larger is newer.
+    /// Sequence number of the verdict on this request; larger is newer.
     pub round: u32,
     /// Whether an operator released the request.
     pub released: bool,
-    /// Endpoint processes that were lost before the verdict.
+    /// Number of losses counted against the request at the time of the verdict.
     pub lost: u32,
-    /// Time for which the verdict still stands.
+    /// Time until the verdict expires.
     pub time_left: TimeSpan,
 }
 
-/// Verdict on one request, as an operator sees it.
+/// Verdict on one request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct VerdictView {
-    /// Request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Whether an operator released the request.
     pub released: bool,
-    /// Endpoint processes that were lost before the verdict.
+    /// Number of losses counted against the request at the time of the verdict.
     pub lost: u32,
-    /// Time for which the verdict still stands.
+    /// Time until the verdict expires.
     pub time_left: TimeSpan,
-    /// Calls that this VM refused under the verdict.
+    /// Runs that this VM refused because of the verdict.
     pub refused_calls: u64,
 }
 
@@ -46,19 +46,21 @@
 }
 
 impl VerdictEntry {
+    /// Returns the merge order; a release supersedes the verdict of the same round.
     fn order(&self) -> (u32, bool) {
         (self.round, self.released)
     }
 }
 
-/// Verdicts that this VM knows of.
+/// Verdicts and releases known to this VM.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct VerdictTable {
     entries: BTreeMap<RequestFingerprint, VerdictEntry>,
 }
 
 impl VerdictTable {
-    /// Returns the time for which a request is refused, if it is.
+    /// Returns the time for which a request is still blocked and counts the refusal;
+    /// `None` if the request is not blocked.
     pub(crate) fn refused_for(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -78,8 +80,9 @@
             .is_some_and(|entry| !entry.released && now < entry.expiry)
     }
 
-    /// Returns a verdict that is newer than any known one.
-    pub(crate) fn condemn(
+    /// Returns a verdict that blocks a request and is newer than any known one; the
+    /// caller merges it.
+    pub(crate) fn block(
         &self,
         fingerprint: RequestFingerprint,
         lost: usize,
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Returns the release of the verdict that stands.
+    /// Returns the release of the known verdict on a request, if there is one; the
+    /// caller merges it.
     pub(crate) fn release(
         &self,
         fingerprint: RequestFingerprint,
@@ -114,7 +118,7 @@
         })
     }
 
-    /// Merges a verdict; returns whether it was news.
+    /// Merges a verdict; returns whether it was newer than the known one.
     pub(crate) fn merge(
         &mut self,
         verdict: &Verdict,
@@ -144,7 +148,7 @@
         true
     }
 
-    /// Forgets what expired; returns whether anything did.
+    /// Removes expired verdicts; returns whether there were any.
     pub(crate) fn expire(&mut self, settings: &CrashSettings, now: LocalTime) -> bool {
         if settings.mutation == CrashMutation::KeepVerdict {
             for entry in self.entries.values_mut() {
--- a/crates/clementinepond_decide/src/crash/verdict_store.rs
+++ b/crates/clementinepond_decide/src/crash/verdict_store.rs
@@ -1,4 +1,4 @@
-//! Verdicts on the platform.
+//! Synchronization of the verdicts with their platform object.
 
 use super::effect::CrashEffect;
 use super::guard::merge_verdicts;
@@ -8,7 +8,8 @@
 use crate::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::LocalTime;
 
-/// Reads the verdicts once, and writes them when they changed.
+/// Reads the verdict object at the start and after an unknown write; writes it when
+/// the verdicts changed and this VM is the arbiter.
 pub(crate) fn tick(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
     if state.settings.sharing == CrashSharing::Isolated {
         return Vec::new();
@@ -34,7 +35,7 @@
     vec![effect]
 }
 
-/// Takes the answer to a write.
+/// Handles the answer to a write.
 pub(crate) fn store_replied(
     state: &mut CrashState,
     reply: StoreReply<VerdictObject>,
@@ -52,7 +53,8 @@
             found.map_or_else(Vec::new, |found| loaded(state, found, now))
         }
         StoreReply::Unknown => {
-            // Reading again shows the version; verdicts merge in any order.
+            // Another read shows whether the write took effect; verdicts can be
+            // merged in any order.
             state.store.dirty = true;
             state.store.loaded = false;
             Vec::new()
@@ -60,7 +62,7 @@
     }
 }
 
-/// Takes the answer to a read.
+/// Handles the answer to a read.
 pub(crate) fn read_replied(
     state: &mut CrashState,
     reply: ReadReply<VerdictObject>,
--- a/crates/clementinepond_decide/src/node/crash_part.rs
+++ b/crates/clementinepond_decide/src/node/crash_part.rs
@@ -47,12 +47,12 @@
             .iter()
             .filter(|(id, _)| !self.state.lost.contains(*id))
             .filter(|(_, state)| state.report.is_some())
-            .filter(|(_, state)| self.now.since(state.reported) > LOST_TIMEOUT)
+            .filter(|(_, state)| self.now.since(state.reported_at) > LOST_TIMEOUT)
             .map(|(id, _)| id.clone())
             .collect();
         for endpoint in silent {
             self.state.lost.insert(endpoint.clone());
-            self.take_crash(CrashEvent::EndpointLost { endpoint });
+            self.take_crash(CrashEvent::EndpointUnreachable { endpoint });
         }
     }
 }
--- a/crates/clementinepond_decide/src/node/reduce.rs
+++ b/crates/clementinepond_decide/src/node/reduce.rs
@@ -93,7 +93,7 @@
             return;
         }
         self.state.lost.remove(endpoint);
-        self.take_crash(CrashEvent::EndpointSeen {
+        self.take_crash(CrashEvent::EndpointReported {
             endpoint: endpoint.clone(),
             incarnation: EndpointIncarnation::new(incarnation.get()),
             asked_at: observation.asked_at,
--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request_part.rs
@@ -200,7 +200,7 @@
         self.drop_run(run.ticket);
         self.state.run_of.insert(run.ticket, ticket);
         self.state.runs.insert(ticket, run);
-        self.take_crash(CrashEvent::Ask {
+        self.take_crash(CrashEvent::RunRequested {
             ticket,
             fingerprint,
             candidates,
--- a/crates/clementinepond_decide/src/port/mod.rs
+++ b/crates/clementinepond_decide/src/port/mod.rs
@@ -1,4 +1,4 @@
-//! Values that several parts exchange with the platform's object API.
+//! Replies of the platform's object API, shared by several reducers.
 
 mod object_reply;
 
--- a/crates/clementinepond_decide/src/port/object_reply.rs
+++ b/crates/clementinepond_decide/src/port/object_reply.rs
@@ -1,12 +1,12 @@
-//! Answers of the object API, seen from a reducer.
+//! Outcomes of reads and conditional updates, in the form that reducers receive.
 
 use clementinepond_types::ObjectVersion;
 use serde::{Deserialize, Serialize};
 
-/// Object together with the version that the platform gave to it.
+/// Object with the version that the platform assigned to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedObject<T> {
-    /// Version of the object.
+    /// Version, needed for a conditional update.
     pub version: ObjectVersion,
     /// Content of the object.
     pub value: T,
@@ -15,11 +15,11 @@
 /// Outcome of reading one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadReply<T> {
-    /// The object as the platform holds it.
+    /// Object with its current version.
     Found(VersionedObject<T>),
     /// The platform holds no such object.
     Missing,
-    /// No answer came; nothing is known.
+    /// No usable answer arrived; the object may or may not exist.
     Unavailable,
 }
 
@@ -28,11 +28,11 @@
 pub enum StoreReply<T> {
     /// The update took effect.
     Stored {
-        /// Version that the update received.
+        /// Version of the object after the update.
         version: ObjectVersion,
     },
-    /// The update was refused, because the object had another version.
+    /// The object had another version; holds the current object, `None` if there is none.
     Conflict(Option<VersionedObject<T>>),
-    /// No answer came; the update may or may not have taken effect.
+    /// No usable answer arrived; the update may or may not have taken effect.
     Unknown,
 }
--- a/crates/clementinepond_decide/tests/crash_guard.rs
+++ b/crates/clementinepond_decide/tests/crash_guard.rs
@@ -1,6 +1,6 @@
-//! The crash guard of one VM and of a few that talk.
+//! The crash guard on one VM and on several VMs that exchange messages.
 
-#![expect(clippy::unwrap_used, reason = "helpers of tests may stop the test")]
+#![expect(clippy::unwrap_used, reason = "test helpers may panic")]
 
 use clementinepond_decide::crash::{
     CrashEffect, CrashEvent, CrashMutation, CrashRefusal, CrashSettings, CrashState, CrashTicket,
@@ -10,7 +10,7 @@
 use clementinepond_types::{EndpointId, Epoch, LocalTime, ObjectVersion, TimeSpan, VmId};
 use std::collections::VecDeque;
 
-/// A few VMs with one platform object.
+/// VMs with a shared verdict object; messages and platform replies arrive at once.
 struct Fleet {
     nodes: Vec<(VmId, CrashState)>,
     settings: CrashSettings,
@@ -40,12 +40,12 @@
             effects: Vec::new(),
         };
         for _ in 0..count {
-            fleet.start();
+            fleet.add_vm();
         }
         fleet
     }
 
-    fn start(&mut self) {
+    fn add_vm(&mut self) {
         let name: VmId = format!("vm-{}", self.nodes.len()).parse().unwrap();
         let state = CrashState::new(self.settings.clone(), name.clone());
         self.nodes.push((name, state));
@@ -56,12 +56,12 @@
                 epoch: Epoch::new(members.len() as u64),
                 members: members.clone(),
             };
-            self.event(node, event);
+            self.apply(node, event);
         }
-        self.pass(TimeSpan::from_secs(3));
+        self.advance(TimeSpan::from_secs(3));
     }
 
-    fn event(&mut self, node: usize, event: CrashEvent) {
+    fn apply(&mut self, node: usize, event: CrashEvent) {
         let mut queue = VecDeque::from([(node, event)]);
         while let Some((node, event)) = queue.pop_front() {
             let (name, state) = &mut self.nodes[node];
@@ -95,31 +95,31 @@
         }
     }
 
-    fn pass(&mut self, span: TimeSpan) {
+    fn advance(&mut self, span: TimeSpan) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + TimeSpan::from_millis(20);
             for node in 0..self.nodes.len() {
-                self.event(node, CrashEvent::Tick);
+                self.apply(node, CrashEvent::Tick);
             }
         }
     }
 
-    fn ask(&mut self, node: usize, name: &str) -> CrashTicket {
+    fn request_run(&mut self, node: usize, name: &str) -> CrashTicket {
         self.next_ticket += 1;
         let ticket = CrashTicket::new(self.next_ticket);
-        let event = CrashEvent::Ask {
+        let event = CrashEvent::RunRequested {
             ticket,
             fingerprint: request(name),
             candidates: (0..4).map(endpoint).collect(),
             deadline: self.now + TimeSpan::from_secs(20),
         };
-        self.event(node, event);
-        self.pass(TimeSpan::from_millis(100));
+        self.apply(node, event);
+        self.advance(TimeSpan::from_millis(100));
         ticket
     }
 
-    fn place(&self, ticket: CrashTicket) -> Option<EndpointId> {
+    fn permitted_endpoint(&self, ticket: CrashTicket) -> Option<EndpointId> {
         self.effects.iter().find_map(|effect| match effect {
             CrashEffect::RunAlone {
                 ticket: one,
@@ -147,46 +147,47 @@
             endpoint: at.clone(),
             incarnation: EndpointIncarnation::new(1),
         };
-        self.event(node, event);
+        self.apply(node, event);
     }
 
-    /// Breaks a run and shows that its endpoint restarted, or did not.
+    /// Breaks the connection of a run, after which its endpoint reports the given
+    /// incarnation; 1 is the one that ran the request.
     fn lose(&mut self, node: usize, ticket: CrashTicket, at: &EndpointId, incarnation: u64) {
-        self.event(node, CrashEvent::StreamBroken { ticket });
-        self.pass(TimeSpan::from_millis(100));
-        let event = CrashEvent::EndpointSeen {
+        self.apply(node, CrashEvent::StreamBroken { ticket });
+        self.advance(TimeSpan::from_millis(100));
+        let event = CrashEvent::EndpointReported {
             endpoint: at.clone(),
             incarnation: EndpointIncarnation::new(incarnation),
             asked_at: self.now,
         };
-        self.event(node, event);
-        self.pass(TimeSpan::from_millis(100));
+        self.apply(node, event);
+        self.advance(TimeSpan::from_millis(100));
     }
 
-    /// Runs a request that takes its first endpoint, then its second.
-    fn poison(&mut self, name: &str) {
-        let first = self.ask(0, name);
+    /// Runs a request that crashes two endpoints, so that it is blocked.
+    fn crash_two_endpoints(&mut self, name: &str) {
+        let first = self.request_run(0, name);
         assert!(self.is_passed(first));
         self.dispatch(0, first, name, &endpoint(0));
         self.lose(0, first, &endpoint(0), 2);
-        let second = self.ask(1, name);
-        let place = self.place(second).unwrap();
-        self.dispatch(1, second, name, &place);
-        self.lose(1, second, &place, 2);
+        let second = self.request_run(1, name);
+        let permitted = self.permitted_endpoint(second).unwrap();
+        self.dispatch(1, second, name, &permitted);
+        self.lose(1, second, &permitted, 2);
     }
 }
 
 #[test]
-fn a_poison_request_is_refused_at_every_vm_and_after_a_restart() {
+fn poison_request_is_refused_at_every_vm_and_at_a_new_vm() {
     let mut fleet = Fleet::new(3, CrashSettings::default());
-    fleet.poison("poison");
-    fleet.pass(TimeSpan::from_secs(3));
-    fleet.start();
+    fleet.crash_two_endpoints("poison");
+    fleet.advance(TimeSpan::from_secs(3));
+    fleet.add_vm();
     for node in 0..4 {
-        let ticket = fleet.ask(node, "poison");
+        let ticket = fleet.request_run(node, "poison");
         assert!(fleet.is_refused(ticket), "vm {node}");
     }
-    let other = fleet.ask(0, "other");
+    let other = fleet.request_run(0, "other");
     assert!(fleet.is_passed(other));
     let views = fleet.nodes[2].1.verdicts(fleet.now);
     assert_eq!(
@@ -196,46 +197,51 @@
 }
 
 #[test]
-fn a_pending_loss_holds_the_next_run_back() {
+fn pending_loss_delays_next_run_until_decided() {
     let mut fleet = Fleet::new(2, CrashSettings::default());
-    let first = fleet.ask(0, "poison");
+    let first = fleet.request_run(0, "poison");
     fleet.dispatch(0, first, "poison", &endpoint(0));
     fleet.lose(0, first, &endpoint(0), 2);
-    let second = fleet.ask(0, "poison");
-    let place = fleet.place(second).unwrap();
-    fleet.dispatch(0, second, "poison", &place);
-    fleet.event(0, CrashEvent::StreamBroken { ticket: second });
-    let third = fleet.ask(1, "poison");
-    assert_eq!(fleet.place(third), None);
+    let second = fleet.request_run(0, "poison");
+    let permitted = fleet.permitted_endpoint(second).unwrap();
+    fleet.dispatch(0, second, "poison", &permitted);
+    fleet.apply(0, CrashEvent::StreamBroken { ticket: second });
+    let third = fleet.request_run(1, "poison");
+    assert_eq!(fleet.permitted_endpoint(third), None);
     assert!(!fleet.is_refused(third));
-    let event = CrashEvent::EndpointLost { endpoint: place };
-    fleet.event(0, event);
-    fleet.pass(TimeSpan::from_millis(100));
+    let event = CrashEvent::EndpointUnreachable {
+        endpoint: permitted,
+    };
+    fleet.apply(0, event);
+    fleet.advance(TimeSpan::from_millis(100));
     assert!(fleet.is_refused(third));
 }
 
 #[test]
-fn suspects_of_one_loss_run_on_different_endpoints_until_they_complete() {
+fn suspects_run_on_different_endpoints_until_completed() {
     let mut fleet = Fleet::new(2, CrashSettings::default());
-    let first = fleet.ask(0, "a");
-    let second = fleet.ask(0, "b");
+    let first = fleet.request_run(0, "a");
+    let second = fleet.request_run(0, "b");
     fleet.dispatch(0, first, "a", &endpoint(0));
     fleet.dispatch(0, second, "b", &endpoint(0));
     fleet.lose(0, first, &endpoint(0), 2);
     fleet.lose(0, second, &endpoint(0), 2);
-    let first = fleet.ask(0, "a");
-    let second = fleet.ask(1, "b");
-    let places = (fleet.place(first).unwrap(), fleet.place(second).unwrap());
-    assert_ne!(places.0, places.1);
-    fleet.dispatch(0, first, "a", &places.0);
-    fleet.event(0, CrashEvent::Completed { ticket: first });
-    fleet.pass(TimeSpan::from_millis(100));
-    let again = fleet.ask(1, "a");
-    assert!(fleet.is_passed(again), "a completed run clears");
+    let first = fleet.request_run(0, "a");
+    let second = fleet.request_run(1, "b");
+    let endpoints = (
+        fleet.permitted_endpoint(first).unwrap(),
+        fleet.permitted_endpoint(second).unwrap(),
+    );
+    assert_ne!(endpoints.0, endpoints.1);
+    fleet.dispatch(0, first, "a", &endpoints.0);
+    fleet.apply(0, CrashEvent::Completed { ticket: first });
+    fleet.advance(TimeSpan::from_millis(100));
+    let again = fleet.request_run(1, "a");
+    assert!(fleet.is_passed(again), "a completed run clears its request");
 }
 
-/// Asks for two copies of a suspect at once.
-fn copies_at_once(mutation: CrashMutation) -> usize {
+/// Requests two runs of a suspect at once; returns how many get a permit.
+fn permitted_copies(mutation: CrashMutation) -> usize {
     let mut fleet = Fleet::new(
         2,
         CrashSettings {
@@ -243,33 +249,39 @@
             ..CrashSettings::default()
         },
     );
-    let first = fleet.ask(0, "poison");
+    let first = fleet.request_run(0, "poison");
     fleet.dispatch(0, first, "poison", &endpoint(0));
     fleet.lose(0, first, &endpoint(0), 2);
-    let copies = [fleet.ask(0, "poison"), fleet.ask(1, "poison")];
-    let places = copies.iter().filter_map(|&copy| fleet.place(copy));
-    places.count()
+    let copies = [
+        fleet.request_run(0, "poison"),
+        fleet.request_run(1, "poison"),
+    ];
+    let endpoints = copies
+        .iter()
+        .filter_map(|&copy| fleet.permitted_endpoint(copy));
+    endpoints.count()
 }
 
 #[test]
-fn copies_of_a_suspect_run_one_after_the_other() {
-    assert_eq!(copies_at_once(CrashMutation::None), 1);
-    assert_eq!(copies_at_once(CrashMutation::RunCopies), 2);
+fn suspect_runs_one_copy_at_a_time() {
+    assert_eq!(permitted_copies(CrashMutation::None), 1);
+    assert_eq!(permitted_copies(CrashMutation::RunCopies), 2);
 }
 
 #[test]
-fn a_broken_connection_to_a_living_endpoint_is_forgotten() {
+fn broken_connection_to_live_endpoint_is_dismissed() {
     let mut fleet = Fleet::new(2, CrashSettings::default());
     for _ in 0..3 {
-        let ticket = fleet.ask(0, "a");
+        let ticket = fleet.request_run(0, "a");
         assert!(fleet.is_passed(ticket));
         fleet.dispatch(0, ticket, "a", &endpoint(0));
         fleet.lose(0, ticket, &endpoint(0), 1);
     }
 }
 
-/// Releases a request, after which an old verdict comes again.
-fn is_released(mutation: CrashMutation) -> bool {
+/// Releases a request, then delivers the verdict from before the release again;
+/// returns whether the request passes.
+fn passes_after_release(mutation: CrashMutation) -> bool {
     let mut fleet = Fleet::new(
         2,
         CrashSettings {
@@ -277,26 +289,27 @@
             ..CrashSettings::default()
         },
     );
-    fleet.poison("poison");
-    fleet.pass(TimeSpan::from_secs(2));
+    fleet.crash_two_endpoints("poison");
+    fleet.advance(TimeSpan::from_secs(2));
     let old = fleet.object.clone().unwrap();
     let fingerprint = request("poison");
-    fleet.event(1, CrashEvent::Release { fingerprint });
-    fleet.pass(TimeSpan::from_secs(2));
+    fleet.apply(1, CrashEvent::Release { fingerprint });
+    fleet.advance(TimeSpan::from_secs(2));
     let reply = ReadReply::Found(old);
-    fleet.event(0, CrashEvent::ReadReplied { reply });
-    let ticket = fleet.ask(0, "poison");
+    fleet.apply(0, CrashEvent::ReadReplied { reply });
+    let ticket = fleet.request_run(0, "poison");
     fleet.is_passed(ticket)
 }
 
 #[test]
-fn a_release_outlives_the_verdict_that_it_ends() {
-    assert!(is_released(CrashMutation::None));
-    assert!(!is_released(CrashMutation::ForgetRelease));
+fn release_supersedes_its_verdict() {
+    assert!(passes_after_release(CrashMutation::None));
+    assert!(!passes_after_release(CrashMutation::ForgetRelease));
 }
 
-/// Lets a verdict grow old.
-fn is_expired(mutation: CrashMutation) -> bool {
+/// Lets 12 s pass with a verdict lifetime of 10 s; returns whether the request
+/// passes.
+fn passes_after_expiry(mutation: CrashMutation) -> bool {
     let mut fleet = Fleet::new(
         2,
         CrashSettings {
@@ -307,14 +320,14 @@
             ..CrashSettings::default()
         },
     );
-    fleet.poison("poison");
-    fleet.pass(TimeSpan::from_secs(12));
-    let ticket = fleet.ask(0, "poison");
+    fleet.crash_two_endpoints("poison");
+    fleet.advance(TimeSpan::from_secs(12));
+    let ticket = fleet.request_run(0, "poison");
     fleet.is_passed(ticket)
 }
 
 #[test]
-fn a_verdict_expires() {
-    assert!(is_expired(CrashMutation::None));
-    assert!(!is_expired(CrashMutation::KeepVerdict));
+fn verdict_expires() {
+    assert!(passes_after_expiry(CrashMutation::None));
+    assert!(!passes_after_expiry(CrashMutation::KeepVerdict));
 }
--- a/crates/clementinepond_measure/src/experiment/crash/callers.rs
+++ b/crates/clementinepond_measure/src/experiment/crash/callers.rs
@@ -127,7 +127,7 @@
                 place: None,
             },
         );
-        let event = CrashEvent::Ask {
+        let event = CrashEvent::RunRequested {
             ticket: CrashTicket::new(ticket),
             fingerprint,
             candidates,
--- a/crates/clementinepond_measure/src/experiment/crash/endpoints.rs
+++ b/crates/clementinepond_measure/src/experiment/crash/endpoints.rs
@@ -126,7 +126,7 @@
         view.is_usable = true;
         view.missing_since = None;
         view.is_reported_lost = false;
-        let event = CrashEvent::EndpointSeen {
+        let event = CrashEvent::EndpointReported {
             endpoint: self.endpoints[place].name.clone(),
             incarnation: EndpointIncarnation::new(incarnation),
             asked_at: LocalTime::from_micros(at),
@@ -143,6 +143,6 @@
         }
         view.is_reported_lost = true;
         let endpoint = self.endpoints[place].name.clone();
-        self.apply(vm, CrashEvent::EndpointLost { endpoint }, at);
+        self.apply(vm, CrashEvent::EndpointUnreachable { endpoint }, at);
     }
 }
