--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request_part.rs
@@ -80,12 +80,12 @@
 
     fn carry_request(&mut self, effect: RequestEffect) {
         match effect {
-            RequestEffect::AskLimit { ticket, profile } => self.ask_limit(ticket, &profile),
-            RequestEffect::AskAgain { ticket, profile } => {
+            RequestEffect::RequestAdmission { ticket, profile } => self.ask_limit(ticket, &profile),
+            RequestEffect::RenewAdmission { ticket, profile } => {
                 self.settle(ticket, TokenCount::ZERO);
                 self.ask_limit(ticket, &profile);
             }
-            RequestEffect::AskClaim { ticket, profile } => self.ask_claim(ticket, &profile),
+            RequestEffect::RequestClaim { ticket, profile } => self.ask_claim(ticket, &profile),
             RequestEffect::Dispatch {
                 ticket,
                 attempt,
@@ -252,7 +252,7 @@
         self.state.routes.note_sent(&endpoint, run.query.prefix);
         self.state
             .requests
-            .note_endpoint(run.ticket, endpoint.clone());
+            .record_endpoint(run.ticket, endpoint.clone());
         let incarnation = self.incarnation(&endpoint);
         self.take_crash(CrashEvent::Dispatched {
             ticket: guard,
--- a/crates/clementinepond_decide/src/request/effect.rs
+++ b/crates/clementinepond_decide/src/request/effect.rs
@@ -1,94 +1,94 @@
-//! What a request asks of the other parts and of the edge.
+//! Effects of the request reducer.
 
 use super::{AttemptNumber, RequestEnd, RequestProfile};
 use crate::route::RouteQuery;
 use clementinepond_types::{EndpointId, LocalTime, RequestTicket, TokenCount};
 
-/// Order to send a request to an endpoint.
+/// Order for the I/O layer to send a request to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DispatchOrder {
-    /// The request.
+    /// Ticket of the request.
     pub ticket: RequestTicket,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// The endpoint.
+    /// Endpoint to send to.
     pub endpoint: EndpointId,
-    /// Tokens that the caller already has.
+    /// Tokens already delivered to the caller; the answer resumes after them.
     pub resume_from: u64,
-    /// Moment after which the order must be dropped.
+    /// Time after which the order must be dropped.
     pub deadline: LocalTime,
 }
 
-/// What a request asks of the other parts and of the edge.
+/// Effect for the other reducers of the node or for the I/O layer.
 #[derive(Debug, Clone)]
 pub enum RequestEffect {
-    /// Ask for admission within the account's limit.
-    AskLimit {
-        /// The request.
+    /// Request admission within the account's limit.
+    RequestAdmission {
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// What is known of it.
+        /// Properties of the request.
         profile: RequestProfile,
     },
-    /// Ask for the claim of a keyed request.
-    AskClaim {
-        /// The request.
+    /// Request the claim of a request with an idempotency key.
+    RequestClaim {
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// What is known of it.
+        /// Properties of the request.
         profile: RequestProfile,
     },
     /// Choose an endpoint and dispatch to it.
     Dispatch {
-        /// The request.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// What the request needs.
+        /// Requirements for the endpoint.
         query: RouteQuery,
-        /// Tokens that the caller already has.
+        /// Tokens already delivered to the caller; the answer resumes after them.
         resume_from: u64,
-        /// Moment after which the order must be dropped.
+        /// Time after which the attempt must not start.
         deadline: LocalTime,
     },
-    /// Cancel what runs at the endpoint.
+    /// Cancel the attempt in flight.
     Cancel {
-        /// The request.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// The endpoint that runs it, when one does.
+        /// Endpoint of the attempt; `None` if no endpoint was chosen.
         endpoint: Option<EndpointId>,
     },
-    /// Tell the limit that tokens were generated.
+    /// Report the generated tokens to the account's limit.
     Progress {
-        /// The request.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// Tokens generated so far.
+        /// Tokens delivered to the caller so far, over all attempts.
         tokens: u64,
     },
-    /// Give back what the request reserved and did not use.
+    /// Return the reserved tokens that the request did not use.
     Settle {
-        /// The request.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// Tokens used; all that was reserved when it is not known.
+        /// Tokens used; all reserved tokens if the number is not known.
         used: TokenCount,
     },
-    /// Give back a lapsed admission and ask for a new one.
-    AskAgain {
-        /// The request.
+    /// Return an expired admission and request a new one.
+    RenewAdmission {
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// What is known of it.
+        /// Properties of the request.
         profile: RequestProfile,
     },
-    /// Tell the claim how the run ended.
+    /// Report the end of the run to the claim.
     CloseClaim {
-        /// The request.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// The end.
+        /// End that the claim records.
         end: RequestEnd,
     },
-    /// Tell the caller.
+    /// Report the end of the request to the caller.
     Finish {
-        /// The request.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// The end.
+        /// End of the request.
         end: RequestEnd,
     },
 }
--- a/crates/clementinepond_decide/src/request/event.rs
+++ b/crates/clementinepond_decide/src/request/event.rs
@@ -1,100 +1,100 @@
-//! What can happen to a request.
+//! Events of the request reducer.
 
 use super::{AttemptNumber, RequestEnd, RequestProfile};
 use crate::claim::RecordedAnswer;
 use clementinepond_types::{LocalTime, RequestTicket, TimeSpan};
 
-/// How one attempt ended.
+/// Outcome of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The whole answer was passed on.
+    /// The complete answer was delivered to the caller.
     Complete {
-        /// Tokens that the endpoint counted, prompt included; none when it
-        /// counts none.
+        /// Tokens that the endpoint counted, prompt included; `None` if it does not
+        /// count tokens.
         used_tokens: Option<u64>,
-        /// The answer, when repeats of the call may ask for it.
+        /// Answer to record, if retries of the call may request it.
         record: Option<Box<RecordedAnswer>>,
     },
-    /// No byte of the request left for the endpoint.
+    /// No byte of the request was sent to the endpoint.
     NotSent,
     /// The endpoint proved that it ran nothing.
     RefusedNotRun,
-    /// The endpoint answered with an error of the caller's making; passed on.
+    /// The endpoint answered with an error caused by the caller, which was passed on.
     Rejected,
-    /// Bytes may have arrived and the answer is not whole.
+    /// Bytes may have reached the endpoint, and the answer is incomplete.
     Broken {
-        /// Tokens already passed on to the caller.
+        /// Tokens delivered to the caller.
         delivered_tokens: u64,
     },
 }
 
-/// What can happen to a request.
+/// Event of the request reducer.
 #[derive(Debug, Clone)]
 pub enum RequestEvent {
     /// A request arrived.
     Arrived {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// What is known of it.
+        /// Properties of the request.
         profile: RequestProfile,
     },
-    /// The account's limit admits it.
+    /// The account's limit admitted the request.
     Admitted {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// Moment after which the admission must not be used.
+        /// Time after which the admission must not be used.
         deadline: LocalTime,
     },
-    /// A claim allows the only run.
+    /// The claim was granted, which permits this VM to run the request.
     ClaimGranted {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// Moment after which the claim must not be used.
+        /// Time after which the claim must not be used.
         deadline: LocalTime,
     },
-    /// Another part ends it.
+    /// Another reducer of the node ended the request.
     Stopped {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// The end.
+        /// End of the request.
         end: RequestEnd,
     },
-    /// Tokens were passed on to the caller.
+    /// Tokens were delivered to the caller.
     Progressed {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// Tokens passed on since the last such event.
+        /// Tokens delivered since the last such event.
         tokens: u64,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerLeft {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
     },
-    /// The key was withdrawn while the request was running.
+    /// The caller's key was withdrawn during the request.
     KeyWithdrawn {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
     },
-    /// Time passed.
+    /// Periodic timer.
     Tick {
-        /// Random number for new choices.
+        /// Random number for the choice of endpoints.
         seed: u64,
     },
-    /// A time to wait before another choice of endpoint was set.
+    /// No endpoint could be chosen for the request.
     NoEndpoint {
-        /// Its number.
+        /// Ticket of the request.
         ticket: RequestTicket,
-        /// Time after which another try makes sense.
+        /// Time after which another choice is useful.
         retry_after: TimeSpan,
     },
 }
--- a/crates/clementinepond_decide/src/request/mod.rs
+++ b/crates/clementinepond_decide/src/request/mod.rs
@@ -1,11 +1,15 @@
-//! Requests: the life cycle of one request, from caller to answer.
+//! Life cycle of one request, from its arrival to its end.
 //!
-//! A request passes the crash guard, is admitted within its account's rate,
-//! is claimed if it may run only once, and is dispatched. Each stage is a type
-//! of its own, so that a request cannot be dispatched before it is admitted.
-//! Every request ends in one of three ways: a complete answer, *not run*
-//! (nothing left for an endpoint, or the endpoint proved that it ran
-//! nothing), or *unknown*.
+//! A request is admitted within its account's rate limit, is claimed if it has
+//! an idempotency key and is not repeatable, and is dispatched; the node asks
+//! the crash guard before each attempt. Each stage is a type of its
+//! own, so that a request cannot be dispatched before it is admitted.
+//!
+//! For the caller, an end means one of three things: an answer (from this run,
+//! from the record of an earlier one, or the endpoint's own error), *not run*
+//! (no byte was sent to an endpoint, or the endpoint proved that it ran
+//! nothing), or *unknown*. A caller that disconnects ends its request without
+//! an answer.
 
 mod effect;
 mod event;
--- a/crates/clementinepond_decide/src/request/profile.rs
+++ b/crates/clementinepond_decide/src/request/profile.rs
@@ -1,4 +1,4 @@
-//! What is known of a request when it arrives.
+//! Properties of a request, known when it arrives.
 
 use crate::claim::{BodyFingerprint, KeyDate};
 use crate::crash::RequestFingerprint;
@@ -6,58 +6,59 @@
 use clementinepond_types::{AccountId, LocalTime, PriorityClass, TokenCount};
 use derive_more::Display;
 
-/// Number of one attempt of a request; the first is 1.
+/// Number of an attempt; the first one of an admission is 1.
 #[derive(Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(u32);
 
 impl AttemptNumber {
-    /// Returns the plain number.
+    /// Returns the number as an integer.
     #[must_use]
     pub const fn get(self) -> u32 {
         self.0
     }
 
-    /// Returns the number of the next attempt.
+    /// Returns the number of the next attempt; stays at the maximum.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
-/// Key by which a caller marks repeats of one call.
+/// Key by which a caller marks retries of one call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct IdempotencyKey {
     /// The key as the caller sent it.
     pub key: Box<str>,
-    /// Moment that the key names.
+    /// Date that the key contains, if any.
     pub date: KeyDate,
     /// Hash of the request body.
     pub fingerprint: BodyFingerprint,
 }
 
-/// What is known of a request when it arrives.
+/// Properties of a request, known when it arrives.
 #[derive(Debug, Clone)]
 pub struct RequestProfile {
-    /// Account of the key; `None` on a route that is open to all.
+    /// Client account of the caller's key; `None` on a route that needs no key.
     pub account: Option<AccountId>,
-    /// What the request is for.
+    /// Model or service that the request addresses.
     pub target: RouteTarget,
-    /// Tokens that count when it starts.
+    /// Tokens of the prompt, reserved at admission.
     pub prompt: TokenCount,
-    /// Most tokens that it can generate.
+    /// Largest number of tokens that it can generate, reserved at admission.
     pub output: TokenCount,
-    /// Priority class.
+    /// Priority class of the request.
     pub priority: PriorityClass,
-    /// Whether it may be run again after a failure.
+    /// Whether it may be retried after an attempt that may have run.
     pub repeatable: bool,
-    /// Key that marks repeats.
+    /// Idempotency key, if the caller sent one.
     pub idempotency: Option<IdempotencyKey>,
     /// Hash of account, target and body.
     pub fingerprint: RequestFingerprint,
-    /// Prefix of the prompt.
+    /// Hash of the prompt's prefix; `None` if prefix caches do not apply.
     pub prefix: Option<PrefixHash>,
-    /// Moment until which it may wait for admission.
+    /// Time until which it may wait for admission, and for an endpoint while no
+    /// attempt may have run.
     pub admission_deadline: LocalTime,
-    /// Moment at which its life ends.
+    /// Time at which it ends if it has not ended before.
     pub deadline: LocalTime,
 }
--- a/crates/clementinepond_decide/src/request/reduce.rs
+++ b/crates/clementinepond_decide/src/request/reduce.rs
@@ -1,4 +1,4 @@
-//! The function from an event to effects.
+//! Reducer of requests.
 
 use super::stage::{Admitted, Answering, Dispatched, Received, Request};
 use super::{
@@ -9,12 +9,14 @@
 use clementinepond_types::{LocalTime, RequestTicket, TimeSpan, TokenCount};
 use std::collections::BTreeSet;
 
-/// Longest wait between two choices of an endpoint.
-const ROUTE_RETRY_LIMIT: TimeSpan = TimeSpan::from_millis(250);
-/// Time in which a request without an account must start.
-const OPEN_START_SPAN: TimeSpan = TimeSpan::from_secs(1);
+/// Longest wait between two choices of an endpoint; also the `retry_after` of a
+/// request whose admission or claim expired.
+const ROUTE_RETRY_MAX_WAIT: TimeSpan = TimeSpan::from_millis(250);
+/// Time in which a request without an account, on a route that needs no key, must
+/// start.
+const OPEN_ROUTE_START_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
 
-/// Takes one event and returns what must be done.
+/// Applies one event to the table and returns the effects to carry out.
 pub fn reduce(table: &mut RequestTable, event: RequestEvent, now: LocalTime) -> Vec<RequestEffect> {
     match event {
         RequestEvent::Arrived { ticket, profile } => arrive(table, ticket, profile, now),
@@ -27,8 +29,8 @@
             attempt,
             outcome,
         } => end_attempt(table, ticket, attempt, outcome, now),
-        RequestEvent::CallerLeft { ticket } => leave(table, ticket),
-        RequestEvent::KeyWithdrawn { ticket } => withdraw(table, ticket),
+        RequestEvent::CallerLeft { ticket } => caller_left(table, ticket),
+        RequestEvent::KeyWithdrawn { ticket } => withdraw_key(table, ticket),
         RequestEvent::Tick { seed } => tick(table, seed, now),
         RequestEvent::NoEndpoint {
             ticket,
@@ -50,9 +52,9 @@
     };
     table.requests.insert(ticket, request.into());
     if profile.account.is_none() {
-        return admit(table, ticket, now + OPEN_START_SPAN);
+        return admit(table, ticket, now + OPEN_ROUTE_START_TIMEOUT);
     }
-    vec![RequestEffect::AskLimit { ticket, profile }]
+    vec![RequestEffect::RequestAdmission { ticket, profile }]
 }
 
 fn admit(
@@ -66,11 +68,11 @@
             let request = request.enter(Admitted { deadline });
             if profile.idempotency.is_some() && !profile.repeatable {
                 table.requests.insert(ticket, request.into());
-                return vec![RequestEffect::AskClaim { ticket, profile }];
+                return vec![RequestEffect::RequestClaim { ticket, profile }];
             }
             start(table, ticket, request, deadline, false)
         }
-        // Admission of a request that has gone is given back.
+        // The request ended before it was admitted; the whole admission is returned.
         None => vec![RequestEffect::Settle {
             ticket,
             used: TokenCount::ZERO,
@@ -121,7 +123,8 @@
     dispatch(table, ticket, seed)
 }
 
-/// Starts the next attempt.
+/// Starts the next attempt; the start deadline applies only while no attempt may
+/// have run.
 fn dispatch(table: &mut RequestTable, ticket: RequestTicket, seed: u64) -> Vec<RequestEffect> {
     let (profile, stage, delivered) = match table.requests.get_mut(&ticket) {
         Some(RequestStage::Dispatched(request)) => (&request.profile, &mut request.stage, 0),
@@ -209,18 +212,18 @@
         ),
         AttemptOutcome::Rejected => finish(table, ticket, RequestEnd::Rejected),
         AttemptOutcome::NotSent | AttemptOutcome::RefusedNotRun => {
-            note_failure(table, ticket, false);
+            record_failure(table, ticket, false);
             retry(table, ticket, EndReason::NoEndpoint, now)
         }
         AttemptOutcome::Broken { .. } => {
-            note_failure(table, ticket, true);
+            record_failure(table, ticket, true);
             retry(table, ticket, EndReason::EndpointFailed, now)
         }
     }
 }
 
-/// Records the endpoint of a failed attempt.
-fn note_failure(table: &mut RequestTable, ticket: RequestTicket, may_have_run: bool) {
+/// Excludes the endpoint of a failed attempt from further attempts.
+fn record_failure(table: &mut RequestTable, ticket: RequestTicket, may_have_run: bool) {
     let stage = match table.requests.get_mut(&ticket) {
         Some(RequestStage::Dispatched(request)) => &mut request.stage,
         Some(RequestStage::Answering(request)) => &mut request.stage.dispatched,
@@ -232,7 +235,8 @@
     }
 }
 
-/// Starts another attempt, or ends the request when none is allowed.
+/// Starts another attempt, renews an expired admission, or ends the request if
+/// neither is possible.
 fn retry(
     table: &mut RequestTable,
     ticket: RequestTicket,
@@ -245,13 +249,13 @@
     let Some(dispatched) = stage.dispatched() else {
         return Vec::new();
     };
-    let is_safe = stage.profile().repeatable || !dispatched.may_have_run;
-    if !is_safe {
+    let is_retryable = stage.profile().repeatable || !dispatched.may_have_run;
+    if !is_retryable {
         return finish(table, ticket, RequestEnd::Unknown { reason });
     }
-    let has_lapsed = !dispatched.may_have_run && now >= dispatched.start_deadline;
-    if has_lapsed {
-        return ask_again(table, ticket);
+    let has_expired = !dispatched.may_have_run && now >= dispatched.start_deadline;
+    if has_expired {
+        return renew_admission(table, ticket);
     }
     let is_allowed =
         dispatched.attempt.get() < table.policy.attempt_limit && stage.profile().deadline > now;
@@ -259,18 +263,19 @@
     if is_allowed && table.budget.withdraw() {
         return dispatch(table, ticket, seed);
     }
-    let end = give_up(stage, EndReason::RetriesExhausted, None);
+    let end = unfinished_end(stage, EndReason::RetriesExhausted, None);
     finish(table, ticket, end)
 }
 
-/// Starts over with a new admission, because the one held has lapsed.
-fn ask_again(table: &mut RequestTable, ticket: RequestTicket) -> Vec<RequestEffect> {
+/// Returns the request to its first stage because its admission expired; ends it if
+/// it is claimed or has no account.
+fn renew_admission(table: &mut RequestTable, ticket: RequestTicket) -> Vec<RequestEffect> {
     let Some(stage) = table.requests.get(&ticket) else {
         return Vec::new();
     };
     let is_claimed = stage.dispatched().is_some_and(|stage| stage.is_claimed);
     if is_claimed || stage.profile().account.is_none() {
-        let end = give_up(stage, EndReason::Timeout, Some(ROUTE_RETRY_LIMIT));
+        let end = unfinished_end(stage, EndReason::Timeout, Some(ROUTE_RETRY_MAX_WAIT));
         return finish(table, ticket, end);
     }
     let profile = stage.profile().clone();
@@ -279,11 +284,16 @@
         stage: Received,
     };
     table.requests.insert(ticket, request.into());
-    vec![RequestEffect::AskAgain { ticket, profile }]
+    vec![RequestEffect::RenewAdmission { ticket, profile }]
 }
 
-/// Names the honest end of a request that gets no further attempt.
-fn give_up(stage: &RequestStage, reason: EndReason, retry_after: Option<TimeSpan>) -> RequestEnd {
+/// Returns the end of a request that gets no further attempt: unknown if it may
+/// have run, otherwise not run.
+fn unfinished_end(
+    stage: &RequestStage,
+    reason: EndReason,
+    retry_after: Option<TimeSpan>,
+) -> RequestEnd {
     if stage.may_have_run() {
         RequestEnd::Unknown { reason }
     } else {
@@ -305,7 +315,7 @@
     };
     let may_wait = now < stage.profile().admission_deadline || stage.may_have_run();
     if !may_wait {
-        let end = give_up(stage, EndReason::NoEndpoint, Some(retry_after));
+        let end = unfinished_end(stage, EndReason::NoEndpoint, Some(retry_after));
         return finish(table, ticket, end);
     }
     let dispatched = match stage {
@@ -314,7 +324,7 @@
         _ => return Vec::new(),
     };
     dispatched.excluded.clear();
-    dispatched.retry_deadline = now + retry_after.min(ROUTE_RETRY_LIMIT);
+    dispatched.retry_deadline = now + retry_after.min(ROUTE_RETRY_MAX_WAIT);
     Vec::new()
 }
 
@@ -348,19 +358,19 @@
     let Some(stage) = table.requests.get(&ticket) else {
         return Vec::new();
     };
-    let end = give_up(stage, EndReason::Timeout, None);
+    let end = unfinished_end(stage, EndReason::Timeout, None);
     cancel_and_finish(table, ticket, end)
 }
 
-fn leave(table: &mut RequestTable, ticket: RequestTicket) -> Vec<RequestEffect> {
+fn caller_left(table: &mut RequestTable, ticket: RequestTicket) -> Vec<RequestEffect> {
     cancel_and_finish(table, ticket, RequestEnd::Abandoned)
 }
 
-fn withdraw(table: &mut RequestTable, ticket: RequestTicket) -> Vec<RequestEffect> {
+fn withdraw_key(table: &mut RequestTable, ticket: RequestTicket) -> Vec<RequestEffect> {
     let Some(stage) = table.requests.get(&ticket) else {
         return Vec::new();
     };
-    let end = give_up(stage, EndReason::KeyWithdrawn, None);
+    let end = unfinished_end(stage, EndReason::KeyWithdrawn, None);
     cancel_and_finish(table, ticket, end)
 }
 
@@ -400,7 +410,7 @@
 }
 
 const fn has_claim(stage: &RequestStage) -> bool {
-    // The claim is open from the moment it is asked for.
+    // The claim is open as soon as it was requested.
     let is_past_admission = matches!(
         stage,
         RequestStage::Admitted(_) | RequestStage::Dispatched(_) | RequestStage::Answering(_)
@@ -409,7 +419,7 @@
     is_past_admission && profile.idempotency.is_some() && !profile.repeatable
 }
 
-/// Returns the tokens that count against the account.
+/// Returns the tokens to charge to the account.
 fn used_tokens(stage: &RequestStage, end: &RequestEnd) -> TokenCount {
     if !stage.may_have_run() {
         return TokenCount::ZERO;
@@ -422,7 +432,7 @@
         RequestEnd::Rejected | RequestEnd::Replayed { .. } | RequestEnd::NotRun { .. } => {
             TokenCount::ZERO
         }
-        // What is not known counts as used, up to what was reserved.
+        // The number is not known, so all reserved tokens are charged.
         RequestEnd::Complete {
             used_tokens: None, ..
         }
@@ -434,10 +444,11 @@
     }
 }
 
-/// Returns what the claim must remember: an abandoned run may have run.
+/// Returns the end that the claim records. An abandoned request is recorded as
+/// unknown or as not run, since the claim has to know whether it may have run.
 fn claimed_end(stage: &RequestStage, end: &RequestEnd) -> RequestEnd {
     match end {
-        RequestEnd::Abandoned => give_up(stage, EndReason::Timeout, None),
+        RequestEnd::Abandoned => unfinished_end(stage, EndReason::Timeout, None),
         other => other.clone(),
     }
 }
--- a/crates/clementinepond_decide/src/request/retry_budget.rs
+++ b/crates/clementinepond_decide/src/request/retry_budget.rs
@@ -1,42 +1,44 @@
-//! Budget that keeps retries a share of the requests.
+//! Retry budget: limits retries to a percentage of requests.
 //!
-//! Each request adds a fraction of a retry up to a small reserve; each retry
-//! takes a whole one. When endpoints fail in numbers, the budget runs dry and
-//! requests end at once, where retries would only add load.
+//! Each request adds a fraction of a retry to the budget, up to a small
+//! maximum; each retry takes one retry from it. When many endpoints fail, the
+//! budget is exhausted and failed requests end at once, since retries would only
+//! add load.
 
-/// Parts of one retry.
-const PARTS_PER_RETRY: u64 = 100;
-/// Most retries held in reserve.
-const RESERVE_RETRIES: u64 = 50;
+/// Budget units of one retry, so that a request adds `percent` units.
+const UNITS_PER_RETRY: u64 = 100;
+/// Largest number of retries that the budget can hold.
+const MAX_RESERVED_RETRIES: u64 = 50;
 
-/// Budget that keeps retries a share of the requests.
+/// Budget that limits retries to a percentage of requests.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    parts: u64,
+    units: u64,
     percent: u64,
 }
 
 impl RetryBudget {
-    /// Starts with a full reserve.
+    /// Creates a full budget to which each request adds `percent` hundredths of a
+    /// retry.
     #[must_use]
     pub fn new(percent: u32) -> Self {
         Self {
-            parts: RESERVE_RETRIES * PARTS_PER_RETRY,
+            units: MAX_RESERVED_RETRIES * UNITS_PER_RETRY,
             percent: u64::from(percent),
         }
     }
 
-    /// Adds the share of one request.
+    /// Adds the fraction of a retry that one request earns.
     pub fn deposit(&mut self) {
-        let limit = RESERVE_RETRIES * PARTS_PER_RETRY;
-        self.parts = (self.parts + self.percent).min(limit);
+        let limit = MAX_RESERVED_RETRIES * UNITS_PER_RETRY;
+        self.units = (self.units + self.percent).min(limit);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
-        let left = self.parts.checked_sub(PARTS_PER_RETRY);
-        self.parts = left.unwrap_or(self.parts);
+        let left = self.units.checked_sub(UNITS_PER_RETRY);
+        self.units = left.unwrap_or(self.units);
         left.is_some()
     }
 }
--- a/crates/clementinepond_decide/src/request/stage.rs
+++ b/crates/clementinepond_decide/src/request/stage.rs
@@ -1,4 +1,4 @@
-//! Stages of a request and its end.
+//! Stages and ends of a request.
 
 use super::{AttemptNumber, RequestProfile};
 use crate::claim::RecordedAnswer;
@@ -6,7 +6,7 @@
 use derive_more::{Display, From};
 use std::collections::BTreeSet;
 
-/// Why a request was refused or its outcome is unknown.
+/// Reason why a request did not run or its outcome is unknown.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
     /// The account's rate and burst are used up.
@@ -15,13 +15,13 @@
     /// The request is larger than the account's burst.
     #[display("larger_than_burst")]
     LargerThanBurst,
-    /// The request crashed endpoints.
+    /// The request is blocked because it crashed endpoints.
     #[display("crashes_endpoints")]
     CrashesEndpoints,
     /// No endpoint serves the target.
     #[display("no_endpoint")]
     NoEndpoint,
-    /// The endpoint did not finish and may have run the request.
+    /// The endpoint did not complete the answer and may have run the request.
     #[display("endpoint_failed")]
     EndpointFailed,
     /// The retry budget or the number of attempts is used up.
@@ -30,28 +30,28 @@
     /// The account is unknown or disabled.
     #[display("account_inactive")]
     AccountInactive,
-    /// The idempotency key names a moment that is too old or in the future.
+    /// The date in the idempotency key is too old or in the future.
     #[display("key_date")]
     KeyDate,
     /// The first call under the idempotency key is still running.
     #[display("still_running")]
     StillRunning,
-    /// The owner of the claim cannot be reached.
+    /// The owner of the claim is unreachable.
     #[display("claim_unavailable")]
     ClaimUnavailable,
-    /// The same key came with another body.
+    /// The idempotency key was used before with another body.
     #[display("key_reused")]
     KeyReused,
     /// The request ran earlier and its outcome is not known.
     #[display("outcome_lost")]
     OutcomeLost,
-    /// The request ran earlier and its answer is no longer held.
+    /// The request ran earlier and its answer is no longer stored.
     #[display("already_ran")]
     AlreadyRan,
-    /// The key was withdrawn.
+    /// The caller's key was withdrawn.
     #[display("key_withdrawn")]
     KeyWithdrawn,
-    /// The life of the request ended.
+    /// The deadline of the request passed, or its admission or claim expired.
     #[display("timeout")]
     Timeout,
     /// The VM is overloaded.
@@ -65,82 +65,82 @@
 /// End of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The caller got the whole answer.
+    /// The caller received the complete answer.
     Complete {
-        /// Tokens that the endpoint counted, prompt included; none when it
-        /// counts none.
+        /// Tokens that the endpoint counted, prompt included; `None` if it does not
+        /// count tokens.
         used_tokens: Option<u64>,
-        /// The answer, when repeats of the call may ask for it.
+        /// Answer to record, if retries of the call may request it.
         record: Option<Box<RecordedAnswer>>,
     },
-    /// The endpoint's own refusal was passed on.
+    /// The caller received the endpoint's own error.
     Rejected,
-    /// The recorded answer of an earlier run.
+    /// The caller received the recorded answer of an earlier run.
     Replayed {
-        /// The answer.
+        /// Recorded answer.
         answer: Box<RecordedAnswer>,
     },
-    /// Nothing ran.
+    /// No endpoint ran the request.
     NotRun {
-        /// Why.
+        /// Reason why it did not run.
         reason: EndReason,
-        /// Time after which another try makes sense.
+        /// Time after which a retry is useful; `None` if not known.
         retry_after: Option<TimeSpan>,
     },
-    /// It may have run.
+    /// An endpoint may have run the request.
     Unknown {
-        /// Why.
+        /// Reason why the outcome is unknown.
         reason: EndReason,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Abandoned,
 }
 
-/// Stage: arrived, asking for admission.
+/// Stage: waiting for admission.
 #[derive(Debug, Clone)]
 pub struct Received;
 
-/// Stage: admitted; asking for the claim or ready to dispatch.
+/// Stage: admitted; waiting for the claim or ready to dispatch.
 #[derive(Debug, Clone)]
 pub struct Admitted {
-    /// Moment after which the admission must not be used.
+    /// Time after which the admission must not be used.
     pub deadline: LocalTime,
 }
 
-/// Stage: handed to an endpoint, or waiting for one.
+/// Stage: sent to an endpoint, or waiting for one.
 #[derive(Debug, Clone)]
 pub struct Dispatched {
     /// Number of the latest attempt.
     pub attempt: AttemptNumber,
-    /// Endpoint of the latest attempt.
+    /// Endpoint of the latest attempt; `None` if none is chosen or the attempt failed.
     pub endpoint: Option<EndpointId>,
-    /// Endpoints that failed it.
+    /// Endpoints that failed the request since it last had to wait for an endpoint.
     pub excluded: BTreeSet<EndpointId>,
-    /// Moment of the next choice, when no endpoint could be named.
+    /// Time of the next choice if no endpoint could be chosen, otherwise never.
     pub retry_deadline: LocalTime,
-    /// Whether bytes may have reached an endpoint in any attempt.
+    /// Whether bytes may have reached an endpoint in a failed attempt.
     pub may_have_run: bool,
-    /// Moment after which no first attempt may start.
+    /// Time after which no attempt may start unless an earlier one may have run.
     pub start_deadline: LocalTime,
-    /// Whether the call is claimed, so that a lapsed start ends it.
+    /// Whether the request has a claim, so that it ends when the start deadline passes.
     pub is_claimed: bool,
 }
 
-/// Stage: tokens reach the caller.
+/// Stage: delivering tokens to the caller.
 #[derive(Debug, Clone)]
 pub struct Answering {
-    /// State of the attempt.
+    /// State of the latest attempt.
     pub dispatched: Dispatched,
-    /// Tokens passed on over all attempts.
+    /// Tokens delivered to the caller over all attempts.
     pub delivered_tokens: u64,
 }
 
-/// A request in a stage.
+/// Request in stage `S`.
 #[derive(Debug, Clone)]
 pub struct Request<S> {
-    /// What is known of it.
+    /// Properties of the request.
     pub profile: RequestProfile,
-    /// Its stage.
+    /// State that belongs to the stage.
     pub stage: S,
 }
 
@@ -154,21 +154,21 @@
     }
 }
 
-/// A request in any stage that still runs.
+/// Request in any stage before its end.
 #[derive(Debug, Clone, From)]
 pub enum RequestStage {
-    /// Asking for admission.
+    /// Waiting for admission.
     Received(Request<Received>),
-    /// Asking for the claim.
+    /// Waiting for the claim.
     Admitted(Request<Admitted>),
-    /// Handed to an endpoint.
+    /// Sent to an endpoint, or waiting for one.
     Dispatched(Request<Dispatched>),
-    /// Tokens reach the caller.
+    /// Delivering tokens to the caller.
     Answering(Request<Answering>),
 }
 
 impl RequestStage {
-    /// Returns what is known of the request.
+    /// Returns the properties of the request.
     #[must_use]
     pub const fn profile(&self) -> &RequestProfile {
         match self {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Returns the dispatch state, once there is one.
+    /// Returns the dispatch state; `None` before the first dispatch.
     #[must_use]
     pub const fn dispatched(&self) -> Option<&Dispatched> {
         match self {
--- a/crates/clementinepond_decide/src/request/state.rs
+++ b/crates/clementinepond_decide/src/request/state.rs
@@ -1,19 +1,19 @@
-//! The requests of one VM.
+//! Table of the requests of one VM.
 
 use super::{RequestStage, RetryBudget};
 use clementinepond_types::{EndpointId, RequestTicket};
 use std::collections::BTreeMap;
 
-/// Limits on attempts.
+/// Limits on attempts and retries.
 #[derive(Debug, Clone)]
 pub struct RequestPolicy {
-    /// Most attempts for one request.
+    /// Largest number of attempts of one request.
     pub attempt_limit: u32,
-    /// Retries allowed for every 100 requests.
+    /// Retries that every 100 requests add to the budget.
     pub retry_percent: u32,
 }
 
-/// The requests of one VM.
+/// Requests of one VM that have not ended.
 #[derive(Debug, Clone)]
 pub struct RequestTable {
     pub(super) policy: RequestPolicy,
@@ -22,7 +22,7 @@
 }
 
 impl RequestTable {
-    /// Starts without requests.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(policy: RequestPolicy) -> Self {
         Self {
@@ -32,26 +32,26 @@
         }
     }
 
-    /// Returns the number of requests that run.
+    /// Returns the number of requests that have not ended.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns whether no request runs.
+    /// Returns whether every request has ended.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Returns a running request.
+    /// Returns a request that has not ended.
     #[must_use]
     pub fn get(&self, ticket: RequestTicket) -> Option<&RequestStage> {
         self.requests.get(&ticket)
     }
 
-    /// Notes the endpoint that was chosen for the latest attempt.
-    pub fn note_endpoint(&mut self, ticket: RequestTicket, endpoint: EndpointId) {
+    /// Records the endpoint that was chosen for the latest attempt.
+    pub fn record_endpoint(&mut self, ticket: RequestTicket, endpoint: EndpointId) {
         match self.requests.get_mut(&ticket) {
             Some(RequestStage::Dispatched(request)) => request.stage.endpoint = Some(endpoint),
             Some(RequestStage::Answering(request)) => {
