--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request_part.rs
@@ -63,7 +63,7 @@
             outcome,
             AttemptOutcome::NotSent | AttemptOutcome::Broken { .. }
         );
-        self.state.routes.note_ended(&endpoint, failed, self.now);
+        self.state.routes.record_ended(&endpoint, failed, self.now);
         let Some(ticket) = self.state.run_of.remove(&ticket) else {
             return;
         };
@@ -209,7 +209,7 @@
     }
 
     fn wait_for_endpoint(&mut self, ticket: RequestTicket) {
-        let RouteError::NoReplica { retry_after } = RouteError::none();
+        let RouteError::NoReplica { retry_after } = RouteError::no_replica();
         self.follow_request(RequestEvent::NoEndpoint {
             ticket,
             retry_after,
@@ -249,7 +249,7 @@
         };
         let fingerprint = stage.profile().fingerprint;
         let is_claimed = stage.dispatched().is_some_and(|stage| stage.is_claimed);
-        self.state.routes.note_sent(&endpoint, run.query.prefix);
+        self.state.routes.record_sent(&endpoint, run.query.prefix);
         self.state
             .requests
             .record_endpoint(run.ticket, endpoint.clone());
@@ -315,7 +315,7 @@
 
     fn cancel(&mut self, ticket: RequestTicket, endpoint: Option<EndpointId>) {
         if let Some(endpoint) = &endpoint {
-            self.state.routes.note_ended(endpoint, false, self.now);
+            self.state.routes.record_ended(endpoint, false, self.now);
         }
         self.drop_run(ticket);
         self.effects.push(NodeEffect::Cancel { ticket, endpoint });
--- a/crates/clementinepond_decide/src/route/choose.rs
+++ b/crates/clementinepond_decide/src/route/choose.rs
@@ -5,7 +5,7 @@
 };
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan};
 
-/// An endpoint that could serve a request.
+/// Endpoint that could serve a request.
 struct RouteCandidate<'a> {
     endpoint: &'a EndpointId,
     wait: TimeSpan,
@@ -13,14 +13,15 @@
 }
 
 impl RouteTable {
-    /// Names the endpoint for a request.
+    /// Returns the endpoint for a request.
     ///
-    /// Endpoints that failed the request or back off are used only when no
-    /// other is left.
+    /// Endpoints that are avoided, in back-off or without a recent report are
+    /// used only when there is no other. Excluded and leaving endpoints are never
+    /// used.
     ///
     /// # Errors
     ///
-    /// Fails when no endpoint holds what the request needs.
+    /// Returns an error if no endpoint serves the target of the request.
     pub fn choose(&self, query: &RouteQuery, now: LocalTime) -> Result<EndpointId, RouteError> {
         let candidates = self.candidates(query, |id, state| {
             !query.excluded.contains(id)
@@ -33,10 +34,11 @@
         } else {
             candidates
         };
-        pick(&candidates, query.seed).ok_or_else(RouteError::none)
+        pick(&candidates, query.seed).ok_or_else(RouteError::no_replica)
     }
 
-    /// Returns up to `limit` endpoints for a request, shortest wait first.
+    /// Returns up to `limit` endpoints for a request, shortest expected wait first,
+    /// including those in back-off or without a recent report.
     #[must_use]
     pub fn ranked(&self, query: &RouteQuery, limit: usize) -> Vec<EndpointId> {
         let mut candidates = self.candidates(query, |id, _| !query.excluded.contains(id));
@@ -48,10 +50,10 @@
             .collect()
     }
 
-    /// Returns whether an endpoint reported lately.
+    /// Returns whether an endpoint reported within `report_timeout`.
     #[must_use]
     pub fn is_fresh(&self, state: &EndpointState, now: LocalTime) -> bool {
-        now.since(state.reported) <= self.settings.report_timeout
+        now.since(state.reported_at) <= self.settings.report_timeout
     }
 
     fn candidates(
@@ -65,13 +67,13 @@
             .filter(|(_, state)| serves(state, &query.target))
             .map(|(endpoint, state)| RouteCandidate {
                 endpoint,
-                wait: self.wait(state, query),
+                wait: self.expected_wait(state, query),
                 is_cached: caches(state, query),
             })
             .collect()
     }
 
-    fn wait(&self, state: &EndpointState, query: &RouteQuery) -> TimeSpan {
+    fn expected_wait(&self, state: &EndpointState, query: &RouteQuery) -> TimeSpan {
         let settings = &self.settings;
         let (running, queued) = state
             .report
@@ -125,8 +127,8 @@
         .is_some_and(|report| report.adapters.contains_key(adapter))
 }
 
-/// Takes the shortest wait of two random candidates and, when any caches the
-/// prefix, a random one of those.
+/// Returns the candidate with the shortest wait out of two random ones and, if any
+/// caches the prefix, a random one of those.
 fn pick(candidates: &[RouteCandidate<'_>], seed: u64) -> Option<EndpointId> {
     let caching: Vec<&RouteCandidate<'_>> = candidates
         .iter()
@@ -139,12 +141,12 @@
     let step = 1 + (seed / count) % count.saturating_sub(1).max(1);
     let second = (first + step) % count;
     let third = (seed >> 32) % u64::try_from(caching.len().max(1)).ok()?;
-    let chosen = [
+    let options = [
         candidates.get(index(first)),
         candidates.get(index(second)),
         caching.get(index(third)).copied(),
     ];
-    let best = chosen
+    let best = options
         .into_iter()
         .flatten()
         .min_by_key(|candidate| candidate.wait)?;
--- a/crates/clementinepond_decide/src/route/endpoint_state.rs
+++ b/crates/clementinepond_decide/src/route/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of one endpoint.
+//! Routing state of one endpoint.
 
 use super::{EndpointProfile, PrefixIndex};
 use crate::plan::ModelState;
@@ -10,73 +10,73 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaState {
-    /// Weights are being read.
+    /// Loads its weights.
     Loading,
     /// Serves requests.
     Ready,
-    /// Finishes what runs and takes nothing new.
+    /// Finishes its running requests and accepts no new ones.
     Draining,
 }
 
-/// One replica in a report.
+/// Replica of a model in an endpoint report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelReplica {
-    /// Version of the weights.
+    /// Version of the model weights.
     pub version: Box<str>,
-    /// State of the replica.
+    /// Life-cycle state of the replica.
     pub state: ReplicaState,
-    /// Accelerator memory that it takes.
+    /// Accelerator memory that the replica occupies, in MiB.
     pub memory_mib: MemorySize,
 }
 
-/// Report of an endpoint; it lags behind the truth.
+/// Report of an endpoint; may be out of date when it arrives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// Changes when the endpoint restarts.
+    /// Number that changes when the endpoint process restarts.
     pub incarnation: u64,
-    /// Grows with each report of one incarnation.
+    /// Sequence number that increases with each report of one incarnation.
     pub report_number: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint accepts no new requests because it is leaving.
     pub draining: bool,
-    /// Largest fencing number that it has seen.
+    /// Largest fencing number that the endpoint has received.
     pub fencing_number: FencingNumber,
-    /// Replicas by model.
+    /// Replicas on the endpoint, by model.
     pub models: BTreeMap<ModelId, ModelReplica>,
-    /// Resident adapters and the models that they extend.
+    /// Resident adapters, each with the model that it extends.
     pub adapters: BTreeMap<AdapterId, ModelId>,
 }
 
-/// What a VM knows of one endpoint.
+/// Routing state of one endpoint, as one VM sees it.
 #[derive(Debug, Clone)]
 pub struct EndpointState {
-    /// Configured properties.
+    /// Configured properties of the endpoint.
     pub profile: EndpointProfile,
-    /// Last report.
+    /// Latest report; `None` before the first one.
     pub report: Option<EndpointReport>,
-    /// Moment at which the last report came.
-    pub reported: LocalTime,
-    /// Requests sent since the last report and not yet ended.
+    /// Time at which the latest report arrived; the origin before the first one.
+    pub reported_at: LocalTime,
+    /// Requests sent since the latest report, minus all that ended since; at least 0.
     pub sent_since_report: u32,
-    /// Requests of this VM that run there.
+    /// Requests of this VM that are in flight at the endpoint.
     pub in_flight: u32,
-    /// Moment until which no new work goes there.
+    /// End of the back-off after a failed attempt.
     pub backoff_deadline: LocalTime,
-    /// Prefixes that it is believed to cache.
+    /// Prompt prefixes that the endpoint probably caches.
     pub prefixes: PrefixIndex,
 }
 
 impl EndpointState {
-    /// Starts without a report.
+    /// Creates the state of an endpoint that has not reported.
     #[must_use]
     pub fn new(profile: EndpointProfile) -> Self {
         Self {
             profile,
             report: None,
-            reported: LocalTime::ORIGIN,
+            reported_at: LocalTime::ORIGIN,
             sent_since_report: 0,
             in_flight: 0,
             backoff_deadline: LocalTime::ORIGIN,
@@ -84,18 +84,21 @@
         }
     }
 
-    /// Returns whether the endpoint is told or seen to be leaving.
+    /// Returns whether the endpoint is leaving by configuration or by its report.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let is_draining = self.report.as_ref().is_some_and(|report| report.draining);
         self.profile.leaving || is_draining
     }
 
-    /// Takes a report unless it is older than the one held.
+    /// Stores a report and returns true, unless the report is not newer than the
+    /// latest one of the same incarnation.
+    ///
+    /// A new incarnation starts with an empty prefix cache.
     pub fn take_report(&mut self, report: EndpointReport, now: LocalTime) -> bool {
-        if let Some(held) = &self.report {
-            let is_same = held.incarnation == report.incarnation;
-            if is_same && report.report_number <= held.report_number {
+        if let Some(latest) = &self.report {
+            let is_same = latest.incarnation == report.incarnation;
+            if is_same && report.report_number <= latest.report_number {
                 return false;
             }
             if !is_same {
@@ -103,7 +106,7 @@
             }
         }
         self.report = Some(report);
-        self.reported = now;
+        self.reported_at = now;
         self.sent_since_report = 0;
         true
     }
--- a/crates/clementinepond_decide/src/route/mod.rs
+++ b/crates/clementinepond_decide/src/route/mod.rs
@@ -1,11 +1,12 @@
-//! Routing: the endpoint that a request is sent to.
+//! Routing: choice of the endpoint that a request is sent to.
 //!
-//! An endpoint's score is the wait that a request would meet there: the work
-//! of its last report, the work sent to it since that report, the prefill
-//! that its prefix cache does not save, the transfer of an adapter that is
-//! not resident, and the distance to its data centre. Reports lag, so every
-//! VM that always took the best score would send to the same endpoint; the
-//! choice is made between two random candidates instead.
+//! An endpoint's score is the expected wait of a request: the requests of its
+//! last report, the requests sent to it since that report, the prefill unless
+//! the prefix is cached, the transfer of an adapter that is not resident, and
+//! the distance to its data centre. Reports lag, so if every VM took the best
+//! score, all would send to the same endpoint. The choice is made between two
+//! random candidates instead, and a random third one that caches the prefix, if
+//! there is any.
 
 mod choose;
 mod endpoint_state;
--- a/crates/clementinepond_decide/src/route/prefix_index.rs
+++ b/crates/clementinepond_decide/src/route/prefix_index.rs
@@ -1,8 +1,8 @@
-//! Prompt prefixes that an endpoint is believed to cache.
+//! Prompt prefixes that an endpoint probably caches.
 //!
-//! Cache events come late and with gaps. A gap may hide evictions, so after a
-//! gap the oldest half of the entries is dropped: a wrong hit only costs
-//! prefill time, never a wrong answer.
+//! Cache events arrive late and with gaps. A gap may hide evictions, so the
+//! older half of the entries is dropped after a gap. A prefix that is wrongly
+//! taken for cached only costs prefill time and never changes an answer.
 
 use derive_more::{Display, FromStr};
 use fnv::FnvHasher;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 
-/// Bytes of a prompt that the prefix cache is keyed by.
+/// Length of the prompt prefix that is hashed as the key of the prefix cache.
 const PREFIX_LENGTH_BYTES: usize = 256;
 
 /// Hash of the first bytes of a prompt.
@@ -21,13 +21,13 @@
 pub struct PrefixHash(u64);
 
 impl PrefixHash {
-    /// Wraps a hash.
+    /// Wraps a hash that an endpoint reported.
     #[must_use]
     pub const fn new(hash: u64) -> Self {
         Self(hash)
     }
 
-    /// Hashes the first 256 bytes of a prompt, as engines do.
+    /// Returns the hash of the first 256 bytes of a prompt, as engines compute it.
     #[must_use]
     pub fn of_prompt(prompt: &str) -> Self {
         let bytes = prompt.as_bytes();
@@ -37,7 +37,7 @@
     }
 }
 
-/// Bounded set of cached prefixes, oldest dropped first.
+/// Set of cached prefixes in order of insertion, which evicts the oldest first.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     order: BTreeMap<u64, PrefixHash>,
@@ -47,13 +47,14 @@
 }
 
 impl PrefixIndex {
-    /// Returns whether a prefix is believed to be cached.
+    /// Returns whether a prefix is probably cached.
     #[must_use]
     pub fn contains(&self, prefix: PrefixHash) -> bool {
         self.position.contains_key(&prefix)
     }
 
-    /// Notes the sequence number of an event and forgets after a gap.
+    /// Records the sequence number of an event; drops the older half of the entries
+    /// after a gap.
     pub fn observe_sequence(&mut self, sequence: u64) {
         let is_gap = self.next_sequence.is_some_and(|next| sequence > next);
         if is_gap {
@@ -63,7 +64,7 @@
         self.next_sequence = Some(self.next_sequence.map_or(next, |known| known.max(next)));
     }
 
-    /// Adds or refreshes a prefix, keeping at most `limit`.
+    /// Adds a prefix or makes it the newest one; evicts the oldest above `limit`.
     pub fn insert(&mut self, prefix: PrefixHash, limit: usize) {
         self.remove(prefix);
         self.order.insert(self.next_position, prefix);
@@ -72,14 +73,14 @@
         self.truncate(limit);
     }
 
-    /// Removes a prefix.
+    /// Removes a prefix that the endpoint evicted.
     pub fn remove(&mut self, prefix: PrefixHash) {
         if let Some(position) = self.position.remove(&prefix) {
             self.order.remove(&position);
         }
     }
 
-    /// Forgets everything.
+    /// Removes all prefixes and resets the sequence number.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/clementinepond_decide/src/route/query.rs
+++ b/crates/clementinepond_decide/src/route/query.rs
@@ -1,59 +1,61 @@
-//! What a request needs of an endpoint.
+//! Requirements of a request for its endpoint.
 
 use super::PrefixHash;
 use clementinepond_types::{AdapterId, EndpointId, ModelId, RouteName, TimeSpan};
 use derive_more::{Display, Error};
 use std::collections::BTreeSet;
 
-/// What a request is for.
+/// Model or service that a request addresses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteTarget {
     /// A model, with an adapter or without.
     Model {
-        /// The model.
+        /// Model that answers.
         model: ModelId,
-        /// The adapter, when the caller named one.
+        /// Adapter, if the caller named one.
         adapter: Option<AdapterId>,
     },
-    /// A plain service.
+    /// A service that is not a model, by its route.
     Service(RouteName),
 }
 
-/// What a request needs of an endpoint.
+/// Requirements of a request for its endpoint.
 #[derive(Debug, Clone)]
 pub struct RouteQuery {
-    /// What the request is for.
+    /// Model or service that the request addresses.
     pub target: RouteTarget,
-    /// Prefix of the prompt.
+    /// Hash of the prompt's prefix; `None` if prefix caches do not apply.
     pub prefix: Option<PrefixHash>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Endpoints that failed this request.
+    /// Endpoints that failed this request; never used.
     pub excluded: BTreeSet<EndpointId>,
-    /// Endpoints used only when no other serves the target.
+    /// Endpoints that are used only when no other serves the target.
     pub avoided: BTreeSet<EndpointId>,
-    /// Random number for the choice.
+    /// Random number that selects the candidates.
     pub seed: u64,
 }
 
-/// Time after which a caller may ask again for a target without a replica.
+/// Time after which a caller may retry a request whose target has no replica.
 const NO_REPLICA_RETRY: TimeSpan = TimeSpan::from_secs(2);
 
-/// Reason for which no endpoint can be named.
+/// Error of the choice of an endpoint.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum RouteError {
-    /// No endpoint serves the target now.
-    #[display("no endpoint serves it now; send it again after {retry_after}")]
+    /// No endpoint serves the target.
+    #[display(
+        "no endpoint serves the requested model or service at present; retry after {retry_after}"
+    )]
     NoReplica {
-        /// Time after which another try makes sense.
+        /// Time after which a retry is useful.
         retry_after: TimeSpan,
     },
 }
 
 impl RouteError {
-    /// The error when no endpoint serves the target.
+    /// Creates the error for a target that no endpoint serves.
     #[must_use]
-    pub const fn none() -> Self {
+    pub const fn no_replica() -> Self {
         Self::NoReplica {
             retry_after: NO_REPLICA_RETRY,
         }
--- a/crates/clementinepond_decide/src/route/settings.rs
+++ b/crates/clementinepond_decide/src/route/settings.rs
@@ -1,25 +1,26 @@
-//! Settings of routing.
+//! Weights and limits of routing.
 
 use clementinepond_types::TimeSpan;
 
-/// Settings of routing.
+/// Weights and limits of routing.
 #[derive(Debug, Clone)]
 pub struct RouteSettings {
-    /// Wait that one running request adds.
+    /// Wait that each running request adds.
     pub running_cost: TimeSpan,
-    /// Wait that one queued request adds.
+    /// Wait that each queued request adds.
     pub queued_cost: TimeSpan,
     /// Prefill time of 1,000 prompt tokens.
     pub prefill_cost: TimeSpan,
     /// Transfer time of an adapter that is not resident.
     pub adapter_cost: TimeSpan,
-    /// Added wait of another data centre.
+    /// Wait that an endpoint in another data centre adds.
     pub distance_cost: TimeSpan,
-    /// Time without a report after which an endpoint gets no new work.
+    /// Time without a report after which an endpoint is used only if there is no other.
     pub report_timeout: TimeSpan,
-    /// Time for which an endpoint gets no new work after a failed attempt.
+    /// Time after a failed attempt in which an endpoint is used only if there is no
+    /// other.
     pub failure_backoff: TimeSpan,
-    /// Prefix hashes kept for each endpoint.
+    /// Largest number of prefix hashes kept per endpoint.
     pub prefix_limit: usize,
 }
 
--- a/crates/clementinepond_decide/src/route/table.rs
+++ b/crates/clementinepond_decide/src/route/table.rs
@@ -1,42 +1,42 @@
-//! The endpoints that a VM can send to.
+//! Table of the endpoints that a VM can send requests to.
 
 use super::{EndpointReport, EndpointState, PrefixHash, RouteSettings};
 use clementinepond_types::{DataCentreId, EndpointId, LocalTime, RouteName};
 use std::collections::BTreeMap;
 
-/// What an endpoint runs.
+/// Kind of work that an endpoint serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointRole {
     /// A model engine.
     Engine,
-    /// A plain service on a route.
+    /// A service that is not a model, by its route.
     Service(RouteName),
 }
 
 /// Configured properties of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointProfile {
-    /// Data centre of the endpoint.
+    /// Data centre where the endpoint runs.
     pub data_centre: DataCentreId,
-    /// What it runs.
+    /// Kind of work that the endpoint serves.
     pub role: EndpointRole,
-    /// Whether operators told it to leave.
+    /// Whether the configuration marks the endpoint as leaving.
     pub leaving: bool,
 }
 
-/// The endpoints that a VM can send to.
+/// Endpoints that a VM can send requests to.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
-    /// Settings of routing.
+    /// Weights and limits of routing.
     pub settings: RouteSettings,
-    /// Data centre of this VM.
+    /// Data centre where this VM runs.
     pub data_centre: DataCentreId,
-    /// Endpoints by name.
+    /// State of each endpoint, by name.
     pub endpoints: BTreeMap<EndpointId, EndpointState>,
 }
 
 impl RouteTable {
-    /// Starts without endpoints.
+    /// Creates a table without endpoints.
     #[must_use]
     pub const fn new(settings: RouteSettings, data_centre: DataCentreId) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Replaces the configured endpoints, keeping what is known of each.
+    /// Replaces the configured endpoints; the state of those that remain is kept.
     pub fn configure(&mut self, profiles: BTreeMap<EndpointId, EndpointProfile>) {
         self.endpoints.retain(|id, _| profiles.contains_key(id));
         for (id, profile) in profiles {
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Takes a report; returns whether it was newer than the one held.
+    /// Stores an endpoint's report; returns false if the endpoint is not configured or
+    /// the report is not newer than the stored one.
     pub fn take_report(
         &mut self,
         endpoint: &EndpointId,
@@ -71,8 +72,8 @@
             .is_some_and(|state| state.take_report(report, now))
     }
 
-    /// Notes a request sent to an endpoint.
-    pub fn note_sent(&mut self, endpoint: &EndpointId, prefix: Option<PrefixHash>) {
+    /// Records a request sent to an endpoint, whose prefix is then taken for cached.
+    pub fn record_sent(&mut self, endpoint: &EndpointId, prefix: Option<PrefixHash>) {
         let limit = self.settings.prefix_limit;
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             state.sent_since_report += 1;
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Notes the end of a request at an endpoint.
-    pub fn note_ended(&mut self, endpoint: &EndpointId, failed: bool, now: LocalTime) {
+    /// Records the end of a request at an endpoint; a failure starts its back-off.
+    pub fn record_ended(&mut self, endpoint: &EndpointId, failed: bool, now: LocalTime) {
         let backoff = self.settings.failure_backoff;
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             state.sent_since_report = state.sent_since_report.saturating_sub(1);
--- a/crates/clementinepond_measure/src/experiment/routing/world.rs
+++ b/crates/clementinepond_measure/src/experiment/routing/world.rs
@@ -268,7 +268,7 @@
         if self.engines[index].is_leaving && self.now > self.leave_known {
             self.outcome.sent_to_leaving += 1;
         }
-        self.tables[vm].note_sent(&chosen, Some(prefix));
+        self.tables[vm].record_sent(&chosen, Some(prefix));
         self.engines[index].submit(job);
         self.start(index);
     }
@@ -298,7 +298,7 @@
     fn end(&mut self, engine: usize, request: usize) {
         self.engines[engine].running -= 1;
         let vm = self.requests[request].vm;
-        self.tables[vm].note_ended(&endpoint(engine), false, self.now);
+        self.tables[vm].record_ended(&endpoint(engine), false, self.now);
         self.start(engine);
     }
 
