--- a/crates/clementinepond_decide/src/crash/state.rs
+++ b/crates/clementinepond_decide/src/crash/state.rs
@@ -23,6 +23,7 @@
     pub(crate) verdicts: Vec<Verdict>,
     /// Whether the list of endpoints where this VM runs suspects is to be sent.
     pub(crate) occupied_changed: bool,
+    /// Earliest time of the next broadcast.
     pub(crate) next_send: LocalTime,
 }
 
@@ -38,10 +39,15 @@
 /// State of the synchronization with the stored verdict object.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct VerdictStore {
+    /// Last known version of the object; `None` if it does not exist or is not known.
     pub(crate) version: Option<ObjectVersion>,
+    /// Whether the object was read since the start or the last unknown write.
     pub(crate) loaded: bool,
+    /// Whether the verdicts changed since the last write.
     pub(crate) dirty: bool,
+    /// Whether a read or write is unanswered.
     pub(crate) in_flight: bool,
+    /// Earliest time of the next read or write.
     pub(crate) next_call: LocalTime,
 }
 
--- a/crates/clementinepond_decide/src/route/choose.rs
+++ b/crates/clementinepond_decide/src/route/choose.rs
@@ -21,7 +21,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no endpoint serves the target of the request.
+    /// Returns an error if no endpoint serves the target, apart from excluded and
+    /// leaving ones.
     pub fn choose(&self, query: &RouteQuery, now: LocalTime) -> Result<EndpointId, RouteError> {
         let candidates = self.candidates(query, |id, state| {
             !query.excluded.contains(id)
