--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request_part.rs
@@ -63,7 +63,7 @@
             outcome,
             AttemptOutcome::NotSent | AttemptOutcome::Broken { .. }
         );
-        self.state.routes.note_ended(&endpoint, failed, self.now);
+        self.state.routes.record_ended(&endpoint, failed, self.now);
         let Some(ticket) = self.state.run_of.remove(&ticket) else {
             return;
         };
@@ -80,12 +80,12 @@
 
     fn carry_request(&mut self, effect: RequestEffect) {
         match effect {
-            RequestEffect::AskLimit { ticket, profile } => self.ask_limit(ticket, &profile),
-            RequestEffect::AskAgain { ticket, profile } => {
+            RequestEffect::RequestAdmission { ticket, profile } => self.ask_limit(ticket, &profile),
+            RequestEffect::RenewAdmission { ticket, profile } => {
                 self.settle(ticket, TokenCount::ZERO);
                 self.ask_limit(ticket, &profile);
             }
-            RequestEffect::AskClaim { ticket, profile } => self.ask_claim(ticket, &profile),
+            RequestEffect::RequestClaim { ticket, profile } => self.ask_claim(ticket, &profile),
             RequestEffect::Dispatch {
                 ticket,
                 attempt,
@@ -200,7 +200,7 @@
         self.drop_run(run.ticket);
         self.state.run_of.insert(run.ticket, ticket);
         self.state.runs.insert(ticket, run);
-        self.take_crash(CrashEvent::Ask {
+        self.take_crash(CrashEvent::RunRequested {
             ticket,
             fingerprint,
             candidates,
@@ -209,7 +209,7 @@
     }
 
     fn wait_for_endpoint(&mut self, ticket: RequestTicket) {
-        let RouteError::NoReplica { retry_after } = RouteError::none();
+        let RouteError::NoReplica { retry_after } = RouteError::no_replica();
         self.follow_request(RequestEvent::NoEndpoint {
             ticket,
             retry_after,
@@ -249,10 +249,10 @@
         };
         let fingerprint = stage.profile().fingerprint;
         let is_claimed = stage.dispatched().is_some_and(|stage| stage.is_claimed);
-        self.state.routes.note_sent(&endpoint, run.query.prefix);
+        self.state.routes.record_sent(&endpoint, run.query.prefix);
         self.state
             .requests
-            .note_endpoint(run.ticket, endpoint.clone());
+            .record_endpoint(run.ticket, endpoint.clone());
         let incarnation = self.incarnation(&endpoint);
         self.take_crash(CrashEvent::Dispatched {
             ticket: guard,
@@ -315,7 +315,7 @@
 
     fn cancel(&mut self, ticket: RequestTicket, endpoint: Option<EndpointId>) {
         if let Some(endpoint) = &endpoint {
-            self.state.routes.note_ended(endpoint, false, self.now);
+            self.state.routes.record_ended(endpoint, false, self.now);
         }
         self.drop_run(ticket);
         self.effects.push(NodeEffect::Cancel { ticket, endpoint });
