--- a/crates/clementinepond_decide/src/plan/catalogue.rs
+++ b/crates/clementinepond_decide/src/plan/catalogue.rs
@@ -113,7 +113,7 @@
 
     /// Returns how many data centres come before one in keeping a model.
     #[must_use]
-    pub fn keeper_rank(&self, model: &ModelId, data_centre: &DataCentreId) -> usize {
+    pub fn rendezvous_rank(&self, model: &ModelId, data_centre: &DataCentreId) -> usize {
         self.data_centres
             .iter()
             .filter(|other| self.precedes(model, other, data_centre))
--- a/crates/clementinepond_decide/src/plan/demand.rs
+++ b/crates/clementinepond_decide/src/plan/demand.rs
@@ -1,7 +1,7 @@
 //! Forecast of one model's demand.
 //!
 //! Level and trend are smoothed; the forecast looks ahead by more than the
-//! time that a load takes to help. What copies carried lately is held, and
+//! time that a load takes to help. What copies carried lately is recent_peak, and
 //! decays more slowly.
 
 use super::ComputeLoad;
@@ -12,8 +12,8 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandForecast {
     level: f64,
-    trend_a_second: f64,
-    held: f64,
+    trend_per_second: f64,
+    recent_peak: f64,
     observed_at: LocalTime,
 }
 
@@ -24,8 +24,8 @@
         let level = to_float(load);
         Self {
             level,
-            trend_a_second: 0.0,
-            held: level,
+            trend_per_second: 0.0,
+            recent_peak: level,
             observed_at: now,
         }
     }
@@ -42,23 +42,25 @@
         self.level += weight * (observed - self.level);
         let slope = (self.level - earlier) / elapsed;
         let weight = smoothing(elapsed, seconds(tuning.trend_time.micros()));
-        self.trend_a_second += weight * (slope - self.trend_a_second);
+        self.trend_per_second += weight * (slope - self.trend_per_second);
         let decay = smoothing(elapsed, seconds(tuning.hold_time.micros()));
-        self.held = self.level.max(self.held + decay * (self.level - self.held));
+        self.recent_peak = self
+            .level
+            .max(self.recent_peak + decay * (self.level - self.recent_peak));
         self.observed_at = now;
     }
 
     /// Returns the load to prepare for.
     #[must_use]
     pub fn expected(&self, tuning: &PlannerTuning) -> f64 {
-        let ahead = self.level + self.trend_a_second * seconds(tuning.look_ahead.micros());
+        let ahead = self.level + self.trend_per_second * seconds(tuning.look_ahead.micros());
         ahead.max(0.0)
     }
 
     /// Returns the load below which copies count as unused.
     #[must_use]
-    pub fn held(&self) -> f64 {
-        self.held
+    pub fn recent_peak(&self) -> f64 {
+        self.recent_peak
     }
 }
 
--- a/crates/clementinepond_decide/src/plan/draining.rs
+++ b/crates/clementinepond_decide/src/plan/draining.rs
@@ -4,7 +4,7 @@
 //! time. Just before the unload the last-copy rule is checked again; a copy
 //! that has become the last one is given back to routing.
 
-use super::view::{has_other_ready, required_here};
+use super::planning::{has_other_ready_copy, required_copies};
 use super::{EndpointAction, HoldingKey, PlanMutation, PlanState, writing};
 use clementinepond_types::{EndpointId, LocalTime};
 
@@ -53,15 +53,16 @@
     };
     is_unguarded
         || !state.catalogue.models.contains_key(model)
-        || required_here(state, model) == 0
-        || has_other_ready(state, endpoint, key, now)
+        || required_copies(state, model) == 0
+        || has_other_ready_copy(state, endpoint, key, now)
 }
 
 fn unload(state: &mut PlanState, endpoint: &EndpointId, key: &HoldingKey) {
     let Some(entry) = state.endpoints.get_mut(endpoint) else {
         return;
     };
-    if !writing::may_order(&state.phase, entry) || !entry.settled || entry.ledger.may_unload(key) {
+    if !writing::may_order(&state.phase, entry) || !entry.confirmed || entry.ledger.may_unload(key)
+    {
         return;
     }
     let action = match key {
--- a/crates/clementinepond_decide/src/plan/fleet.rs
+++ b/crates/clementinepond_decide/src/plan/endpoint_entry.rs
@@ -24,8 +24,8 @@
     /// Moment after which the last barrier counts as lost.
     pub barrier_window_end: LocalTime,
     /// Whether a report has proved the endpoint's state to this holder.
-    pub settled: bool,
-    retired: BTreeSet<Incarnation>,
+    pub confirmed: bool,
+    retired_incarnations: BTreeSet<Incarnation>,
     largest_order: OrderNumber,
 }
 
@@ -42,8 +42,8 @@
             last_number: OrderNumber::default(),
             barrier: None,
             barrier_window_end: LocalTime::ORIGIN,
-            settled: false,
-            retired: BTreeSet::new(),
+            confirmed: false,
+            retired_incarnations: BTreeSet::new(),
             largest_order: OrderNumber::default(),
         }
     }
@@ -72,13 +72,13 @@
         }
         // A retired incarnation is heard again only if it names an order that
         // nobody had named before, which no earlier report can do.
-        let retired = self.retired.contains(&report.incarnation);
-        if retired && report.last_order <= self.largest_order {
+        let retired_incarnations = self.retired_incarnations.contains(&report.incarnation);
+        if retired_incarnations && report.last_order <= self.largest_order {
             return false;
         }
-        self.retired.insert(current.incarnation);
-        self.retired.remove(&report.incarnation);
-        self.unsettle();
+        self.retired_incarnations.insert(current.incarnation);
+        self.retired_incarnations.remove(&report.incarnation);
+        self.require_barrier();
         self.install(report, now);
         true
     }
@@ -91,31 +91,31 @@
             .barrier
             .is_some_and(|barrier| report.last_order >= barrier)
         {
-            self.settled = true;
+            self.confirmed = true;
             self.barrier = None;
         }
-        self.ledger.settle(&report, now);
+        self.ledger.release_resolved(&report, now);
         self.draining.retain(|key, _| report.lists(key));
         self.report = Some(report);
         self.reported_at = now;
     }
 
     /// Doubts everything, for a new term or after the end of one.
-    pub fn restart(&mut self) {
-        self.unsettle();
+    pub fn reset(&mut self) {
+        self.require_barrier();
         self.ledger = EndpointLedger::default();
         self.draining.clear();
     }
 
     /// Requires a new barrier before the next load.
-    pub fn unsettle(&mut self) {
-        self.settled = false;
+    pub fn require_barrier(&mut self) {
+        self.confirmed = false;
         self.barrier = None;
         self.barrier_window_end = LocalTime::ORIGIN;
     }
 
     /// Takes an order number that this endpoint has never had.
-    pub fn take_number(&mut self, next: &mut OrderNumber) -> OrderNumber {
+    pub fn assign_number(&mut self, next: &mut OrderNumber) -> OrderNumber {
         let number = self.last_number.next().max(*next);
         *next = number.next();
         self.last_number = number;
--- a/crates/clementinepond_decide/src/plan/lease.rs
+++ b/crates/clementinepond_decide/src/plan/lease.rs
@@ -21,18 +21,18 @@
 impl SeenObject {
     /// Returns the moment at which the holder's authority has certainly ended.
     #[must_use]
-    pub fn free_at(&self, settings: &PlanSettings) -> LocalTime {
+    pub fn authority_end(&self, settings: &PlanSettings) -> LocalTime {
         match &self.value {
-            Some(object) => self.first_seen + settings.lengthened(object.authority_span()),
+            Some(object) => self.first_seen + settings.lengthened(object.authority_duration()),
             None => self.first_seen,
         }
     }
 
     /// Returns the moment after which no order of the holder can take effect.
     #[must_use]
-    pub fn quiet_at(&self, settings: &PlanSettings) -> LocalTime {
+    pub fn effect_end(&self, settings: &PlanSettings) -> LocalTime {
         match &self.value {
-            Some(object) => self.first_seen + settings.lengthened(object.effect_span()),
+            Some(object) => self.first_seen + settings.lengthened(object.effect_duration()),
             None => self.first_seen,
         }
     }
@@ -64,7 +64,7 @@
     /// The write.
     pub write: PendingWrite,
     /// Moment after which no earlier order can take effect.
-    pub quiet_at: LocalTime,
+    pub effect_end: LocalTime,
 }
 
 /// State of a holder while orders of earlier holders may still arrive.
@@ -73,7 +73,7 @@
     /// The lease.
     pub term: LeaseTerm,
     /// Moment after which no earlier order can take effect.
-    pub quiet_at: LocalTime,
+    pub effect_end: LocalTime,
 }
 
 /// State of a holder after the last order of earlier holders.
@@ -108,7 +108,7 @@
 
 impl LeaseTerm {
     /// Gives up a write whose outcome is unknown; the next one follows soon.
-    pub fn drop_write(&mut self) {
+    pub fn abandon_write(&mut self) {
         self.write = None;
         self.written_at = LocalTime::ORIGIN;
     }
@@ -131,15 +131,15 @@
     }
 
     /// Notes a version of the object; an older one changes nothing.
-    pub fn note(&mut self, version: ObjectVersion, value: Option<PlanObject>, now: LocalTime) {
+    pub fn record(&mut self, version: ObjectVersion, value: Option<PlanObject>, now: LocalTime) {
         let known = self.state.seen.as_ref().map(|seen| seen.version);
-        let is_news = match (known, &value) {
+        let is_new = match (known, &value) {
             (None, _) => true,
             (Some(known), Some(_)) => version > known,
             // The object was deleted; its last version stays the lower bound.
             (Some(known), None) => known != version,
         };
-        if is_news {
+        if is_new {
             self.state.seen = Some(SeenObject {
                 version,
                 value,
@@ -150,9 +150,9 @@
 
     /// Sends the first write.
     #[must_use]
-    pub const fn acquire(write: PendingWrite, quiet_at: LocalTime) -> PlanLease<Acquiring> {
+    pub const fn acquire(write: PendingWrite, effect_end: LocalTime) -> PlanLease<Acquiring> {
         PlanLease {
-            state: Acquiring { write, quiet_at },
+            state: Acquiring { write, effect_end },
         }
     }
 }
@@ -181,7 +181,7 @@
         PlanLease {
             state: Waiting {
                 term,
-                quiet_at: self.state.quiet_at,
+                effect_end: self.state.effect_end,
             },
         }
     }
@@ -190,7 +190,7 @@
 impl PlanLease<Waiting> {
     /// Goes on to hold, once earlier orders have died out.
     #[must_use]
-    pub fn settled(self, settings: &PlanSettings) -> PlanLease<Holding> {
+    pub fn into_holding(self, settings: &PlanSettings) -> PlanLease<Holding> {
         let term = LeaseTerm {
             order_span: settings.order_span,
             arrival_margin: settings.arrival_margin,
--- a/crates/clementinepond_decide/src/plan/ledger.rs
+++ b/crates/clementinepond_decide/src/plan/ledger.rs
@@ -37,14 +37,14 @@
 
     /// Notes that an order leaves for the endpoint.
     pub fn issue(&mut self, number: OrderNumber, window_end: LocalTime, now: LocalTime) {
-        self.note_barrier(number, now);
+        self.record_barrier(number, now);
         if let Some(order) = self.orders.get_mut(&number) {
             order.window_end = window_end;
         }
     }
 
     /// Makes an order the barrier of every order whose window is over.
-    pub fn note_barrier(&mut self, number: OrderNumber, now: LocalTime) {
+    pub fn record_barrier(&mut self, number: OrderNumber, now: LocalTime) {
         for order in self.orders.values_mut() {
             if order.window_end < now && order.barrier.is_none() {
                 order.barrier = Some(number);
@@ -53,9 +53,9 @@
     }
 
     /// Ends the reservations that a report settles.
-    pub fn settle(&mut self, report: &EndpointReport, now: LocalTime) {
+    pub fn release_resolved(&mut self, report: &EndpointReport, now: LocalTime) {
         self.orders
-            .retain(|_, order| order.window_end >= now || !is_settled(order, report));
+            .retain(|_, order| order.window_end >= now || !is_resolved(order, report));
     }
 
     /// Drops one order, whatever became of it.
@@ -69,13 +69,13 @@
     }
 
     /// Drops the orders that a report shows as done.
-    pub fn forget_done(&mut self, report: &EndpointReport) {
+    pub fn forget_completed(&mut self, report: &EndpointReport) {
         self.orders.retain(|_, order| !is_done(order, report));
     }
 
     /// Returns whether an order whose window is over still lacks its proof.
     #[must_use]
-    pub fn awaits_proof(&self, now: LocalTime) -> bool {
+    pub fn has_unresolved(&self, now: LocalTime) -> bool {
         self.orders.values().any(|order| order.window_end < now)
     }
 
@@ -97,7 +97,7 @@
                 *entry = (*entry).max(memory);
             }
         }
-        reported(report, adapters) + reserved.into_values().sum()
+        reported_memory(report, adapters) + reserved.into_values().sum()
     }
 
     /// Returns whether a load of something may still take effect.
@@ -131,7 +131,10 @@
 }
 
 /// Returns the memory that a report accounts for.
-fn reported(report: &EndpointReport, adapters: &BTreeMap<AdapterId, MemorySize>) -> MemorySize {
+fn reported_memory(
+    report: &EndpointReport,
+    adapters: &BTreeMap<AdapterId, MemorySize>,
+) -> MemorySize {
     let models: MemorySize = report.models.iter().map(|entry| entry.memory_mib).sum();
     let adapters: MemorySize = report
         .adapters
@@ -141,7 +144,7 @@
     report.used_mib.max(models + adapters)
 }
 
-fn is_settled(order: &PossibleOrder, report: &EndpointReport) -> bool {
+fn is_resolved(order: &PossibleOrder, report: &EndpointReport) -> bool {
     let passed = order
         .barrier
         .is_some_and(|barrier| report.last_order >= barrier);
--- a/crates/clementinepond_decide/src/plan/mod.rs
+++ b/crates/clementinepond_decide/src/plan/mod.rs
@@ -19,21 +19,21 @@
 mod demand;
 mod draining;
 mod effect;
+mod endpoint_entry;
 mod event;
-mod fleet;
-mod intake;
 mod lease;
 mod ledger;
 mod object;
 mod order;
+mod periodic;
 pub mod planner;
+mod planning;
+mod platform_reply;
 mod reduce;
 mod report;
 mod settings;
 mod state;
 mod status;
-mod upkeep;
-mod view;
 mod writing;
 
 pub use catalogue::{
@@ -42,8 +42,8 @@
 pub use compute_load::ComputeLoad;
 pub use demand::DemandForecast;
 pub use effect::PlanEffect;
+pub use endpoint_entry::EndpointEntry;
 pub use event::{EndpointSpec, OrderReply, PlanEvent};
-pub use fleet::EndpointEntry;
 pub use lease::{
     Acquiring, Follower, Holding, LeasePhase, LeaseTerm, PendingWrite, PlanLease, SeenObject,
     Waiting,
--- a/crates/clementinepond_decide/src/plan/object.rs
+++ b/crates/clementinepond_decide/src/plan/object.rs
@@ -78,7 +78,7 @@
 
     /// Returns how long after its write the holder may still issue orders.
     #[must_use]
-    pub fn authority_span(&self) -> TimeSpan {
+    pub fn authority_duration(&self) -> TimeSpan {
         match self.holder {
             Some(_) => self.lease,
             None => TimeSpan::ZERO,
@@ -87,7 +87,7 @@
 
     /// Returns how long after its write an order may still take effect.
     #[must_use]
-    pub fn effect_span(&self) -> TimeSpan {
+    pub fn effect_duration(&self) -> TimeSpan {
         let issue = match self.holder {
             Some(_) => self.lease,
             None => self.order_span,
--- a/crates/clementinepond_decide/src/plan/upkeep.rs
+++ b/crates/clementinepond_decide/src/plan/periodic.rs
@@ -3,15 +3,15 @@
 use super::catalogue::rendezvous_weight;
 use super::lease::{LeasePhase, PendingWrite, PlanLease, SeenObject};
 use super::{
-    EndpointEntry, OrderNumber, PlanEffect, PlanMutation, PlanObject, PlanState, draining, intake,
-    status, view, writing,
+    EndpointEntry, OrderNumber, PlanEffect, PlanMutation, PlanObject, PlanState, draining,
+    planning, platform_reply, status, writing,
 };
 use clementinepond_types::{FencingNumber, LocalTime, ObjectVersion};
 
 /// Takes in the passing of time.
 pub(super) fn tick(state: &mut PlanState, seed: u64, now: LocalTime) -> Vec<PlanEffect> {
     let mut effects = Vec::new();
-    lapse(state, now);
+    expire(state, now);
     if matches!(state.phase, LeasePhase::Follower(_)) {
         follow(state, seed, now, &mut effects);
     } else if state.phase.term().is_some() {
@@ -30,16 +30,16 @@
 }
 
 /// Ends a term whose deadline has passed.
-fn lapse(state: &mut PlanState, now: LocalTime) {
-    let has_lapsed = state.phase.term().is_some_and(|term| now >= term.deadline);
+fn expire(state: &mut PlanState, now: LocalTime) {
+    let is_expired = state.phase.term().is_some_and(|term| now >= term.deadline);
     let is_stale = matches!(
         &state.phase,
         LeasePhase::Acquiring(lease)
             if now >= lease.state.write.sent_at + state.settings.shortened(state.settings.lease)
     );
-    if has_lapsed || is_stale {
+    if is_expired || is_stale {
         state.phase = LeasePhase::Follower(PlanLease::watch(None));
-        intake::forget_term(state);
+        platform_reply::clear_term(state);
         state.next_read_at = now;
     }
 }
@@ -63,7 +63,7 @@
             state.settings.observer_read_interval
         };
         state.next_read_at = now + interval;
-        effects.push(intake::read(state));
+        effects.push(platform_reply::read_effect(state));
     }
 }
 
@@ -84,17 +84,17 @@
         .settings
         .candidate_stagger
         .fraction(u64::from(rank), 1);
-    let free_at = if seen.value.is_none() && !is_untouched(state) {
+    let authority_end = if seen.value.is_none() && !has_no_prior_orders(state) {
         // The object was deleted; its last holder may still act.
         seen.first_seen + state.settings.lengthened(state.settings.lease)
     } else {
-        seen.free_at(&state.settings)
+        seen.authority_end(&state.settings)
     };
-    free_at + stagger
+    authority_end + stagger
 }
 
 /// Returns whether there are endpoints and none has ever had an order.
-fn is_untouched(state: &PlanState) -> bool {
+fn has_no_prior_orders(state: &PlanState) -> bool {
     let is_fresh = |entry: &EndpointEntry| {
         entry.report.as_ref().is_some_and(|report| {
             report.last_order == OrderNumber::default()
@@ -134,7 +134,7 @@
             .map(|object| object.goals.clone())
             .unwrap_or_default(),
     };
-    let quiet_at = quiet_at(state, seen, now);
+    let effect_end = effect_end(state, seen, now);
     let if_version = match seen.value {
         Some(_) => seen.version,
         None => ObjectVersion::default(),
@@ -145,7 +145,7 @@
         sent_at: now,
         answer_lost: false,
     };
-    state.phase = LeasePhase::Acquiring(PlanLease::acquire(write, quiet_at));
+    state.phase = LeasePhase::Acquiring(PlanLease::acquire(write, effect_end));
     PlanEffect::Store {
         data_centre: state.data_centre.clone(),
         object: Box::new(object),
@@ -153,23 +153,23 @@
     }
 }
 
-fn quiet_at(state: &PlanState, seen: &SeenObject, now: LocalTime) -> LocalTime {
+fn effect_end(state: &PlanState, seen: &SeenObject, now: LocalTime) -> LocalTime {
     if state.settings.mutated(PlanMutation::NoWaitOnTakeover) {
         return now;
     }
-    if seen.value.is_none() && !is_untouched(state) {
+    if seen.value.is_none() && !has_no_prior_orders(state) {
         let span = state.settings.lease + state.settings.arrival_margin;
         return seen.first_seen + state.settings.lengthened(span);
     }
-    seen.quiet_at(&state.settings)
+    seen.effect_end(&state.settings)
 }
 
 fn hold(state: &mut PlanState, now: LocalTime, effects: &mut Vec<PlanEffect>) {
     if let LeasePhase::Waiting(lease) = &state.phase
-        && now > lease.state.quiet_at
+        && now > lease.state.effect_end
     {
         let lease = lease.clone();
-        state.phase = LeasePhase::Holding(lease.settled(&state.settings));
+        state.phase = LeasePhase::Holding(lease.into_holding(&state.settings));
     }
     if state.settings.mutated(PlanMutation::ReleaseWithoutBarrier) {
         for entry in state.endpoints.values_mut() {
@@ -187,7 +187,7 @@
     draining::finish(state, now);
     if now >= state.next_plan_at && !state.releasing {
         state.next_plan_at = now + state.settings.plan_interval;
-        view::plan_moves(state, now);
+        planning::plan_moves(state, now);
     }
     writing::write_if_due(state, now, effects);
 }
@@ -201,6 +201,6 @@
     let is_lost = write.is_some_and(|write| write.answer_lost);
     if is_lost && now >= state.next_read_at {
         state.next_read_at = now + state.settings.write_interval;
-        effects.push(intake::read(state));
+        effects.push(platform_reply::read_effect(state));
     }
 }
--- a/crates/clementinepond_decide/src/plan/planner/adapters.rs
+++ b/crates/clementinepond_decide/src/plan/planner/adapters.rs
@@ -1,14 +1,14 @@
 //! Adapters follow the copies of their models.
 
-use super::board::Board;
+use super::draft::DraftPlacement;
 use super::{CopyState, MoveReason, PlannedMove, UnplacedItem, UnplacedReason};
 use crate::plan::EndpointAction;
 use clementinepond_types::{AdapterId, ModelId};
 
 /// Loads adapters beside every ready copy and unloads those left alone.
-pub(super) fn place(board: &mut Board<'_>) {
-    unload_orphans(board);
-    let adapters: Vec<(&AdapterId, &ModelId)> = board
+pub(super) fn place(draft: &mut DraftPlacement<'_>) {
+    unload_orphaned_adapters(draft);
+    let adapters: Vec<(&AdapterId, &ModelId)> = draft
         .problem
         .adapters
         .iter()
@@ -16,48 +16,55 @@
         .collect();
     // First copies go before second copies of any adapter.
     for &(adapter, model) in &adapters {
-        if !is_held(board, adapter) && !load(board, adapter, model, 1) {
-            report_missing(board, adapter, model);
+        if !is_held(draft, adapter) && !load(draft, adapter, model, 1) {
+            report_missing(draft, adapter, model);
         }
     }
     for &(adapter, model) in &adapters {
-        load(board, adapter, model, usize::MAX);
+        load(draft, adapter, model, usize::MAX);
     }
 }
 
-fn is_held(board: &Board<'_>, adapter: &AdapterId) -> bool {
-    board.seats.iter().any(|seat| {
-        seat.adapters
+fn is_held(draft: &DraftPlacement<'_>, adapter: &AdapterId) -> bool {
+    draft.slots.iter().any(|slot| {
+        slot.adapters
             .get(adapter)
             .is_some_and(|state| *state != CopyState::Leaving)
     })
 }
 
 /// Loads an adapter on up to `count` endpoints; returns whether any can be.
-fn load(board: &mut Board<'_>, adapter: &AdapterId, model: &ModelId, count: usize) -> bool {
-    let Some(&index) = board.index.get(model) else {
+fn load(
+    draft: &mut DraftPlacement<'_>,
+    adapter: &AdapterId,
+    model: &ModelId,
+    count: usize,
+) -> bool {
+    let Some(&index) = draft.index.get(model) else {
         return false;
     };
-    let Some(need) = board.problem.adapters.get(adapter) else {
+    let Some(need) = draft.problem.adapters.get(adapter) else {
         return false;
     };
-    let seats: Vec<usize> = board.models[index]
+    let slots: Vec<usize> = draft.models[index]
         .copies
         .iter()
         .filter(|copy| copy.state == CopyState::Ready)
-        .map(|copy| copy.seat)
-        .filter(|&seat| {
-            let spot = &board.seats[seat];
-            spot.accepting && !spot.adapters.contains_key(adapter) && spot.free >= need.memory.get()
+        .map(|copy| copy.slot)
+        .filter(|&slot| {
+            let endpoint = &draft.slots[slot];
+            endpoint.accepting
+                && !endpoint.adapters.contains_key(adapter)
+                && endpoint.free >= need.memory.get()
         })
         .take(count)
         .collect();
-    for &seat in &seats {
-        if board.budget.adapters == 0 {
+    for &slot in &slots {
+        if draft.budget.adapters == 0 {
             break;
         }
         let planned = PlannedMove {
-            endpoint: board.seats[seat].id.clone(),
+            endpoint: draft.slots[slot].id.clone(),
             action: EndpointAction::LoadAdapter {
                 adapter: adapter.clone(),
                 model: model.clone(),
@@ -65,18 +72,18 @@
             },
             reason: MoveReason::BesideModel,
         };
-        if board.outcome.moves.contains(&planned) {
+        if draft.outcome.moves.contains(&planned) {
             continue;
         }
-        board.budget.adapters -= 1;
-        board.seats[seat].free -= need.memory.get();
-        board.outcome.moves.push(planned);
+        draft.budget.adapters -= 1;
+        draft.slots[slot].free -= need.memory.get();
+        draft.outcome.moves.push(planned);
     }
-    !seats.is_empty()
+    !slots.is_empty()
 }
 
-fn report_missing(board: &mut Board<'_>, adapter: &AdapterId, model: &ModelId) {
-    board.outcome.unplaced.push(UnplacedItem {
+fn report_missing(draft: &mut DraftPlacement<'_>, adapter: &AdapterId, model: &ModelId) {
+    draft.outcome.unplaced.push(UnplacedItem {
         model: None,
         adapter: Some(adapter.clone()),
         reason: UnplacedReason::NoModel {
@@ -85,16 +92,16 @@
     });
 }
 
-fn unload_orphans(board: &mut Board<'_>) {
-    for seat in 0..board.seats.len() {
-        if !board.seats[seat].accepting {
+fn unload_orphaned_adapters(draft: &mut DraftPlacement<'_>) {
+    for slot in 0..draft.slots.len() {
+        if !draft.slots[slot].accepting {
             continue;
         }
-        let held = board.seats[seat].adapters;
+        let held = draft.slots[slot].adapters;
         for (adapter, state) in held {
-            if *state == CopyState::Ready && is_orphan(board, adapter, seat) {
-                board.outcome.moves.push(PlannedMove {
-                    endpoint: board.seats[seat].id.clone(),
+            if *state == CopyState::Ready && is_orphan(draft, adapter, slot) {
+                draft.outcome.moves.push(PlannedMove {
+                    endpoint: draft.slots[slot].id.clone(),
                     action: EndpointAction::UnloadAdapter {
                         adapter: adapter.clone(),
                     },
@@ -105,12 +112,12 @@
     }
 }
 
-fn is_orphan(board: &Board<'_>, adapter: &AdapterId, seat: usize) -> bool {
-    let Some(need) = board.problem.adapters.get(adapter) else {
+fn is_orphan(draft: &DraftPlacement<'_>, adapter: &AdapterId, slot: usize) -> bool {
+    let Some(need) = draft.problem.adapters.get(adapter) else {
         return true;
     };
-    match board.index.get(&need.model) {
-        Some(&index) => !board.models[index].sits_at(seat),
+    match draft.index.get(&need.model) {
+        Some(&index) => !draft.models[index].has_copy_on(slot),
         None => true,
     }
 }
--- a/crates/clementinepond_decide/src/plan/planner/board.rs
+++ b/crates/clementinepond_decide/src/plan/planner/draft.rs
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Thousandths of an accelerator in one.
-const MILLI: f64 = 1_000.0;
+const MILLI_PER_ACCELERATOR: f64 = 1_000.0;
 
 /// One copy of a model.
 #[derive(Debug, Clone)]
-pub(super) struct BoardCopy {
-    pub(super) seat: usize,
+pub(super) struct DraftCopy {
+    pub(super) slot: usize,
     pub(super) state: CopyState,
     pub(super) version: ModelVersion,
     pub(super) load: f64,
@@ -23,23 +23,23 @@
 
 /// One endpoint.
 #[derive(Debug)]
-pub(super) struct BoardSeat<'a> {
+pub(super) struct EndpointSlot<'a> {
     pub(super) id: &'a EndpointId,
     pub(super) accepting: bool,
     pub(super) memory: u64,
     /// Memory that is free for certain.
     pub(super) free: u64,
     /// Memory that is free once everything that leaves has left.
-    pub(super) later: u64,
+    pub(super) free_after_unloads: u64,
     pub(super) capacity: f64,
-    pub(super) remaining: f64,
+    pub(super) remaining_capacity: f64,
     pub(super) models: Vec<usize>,
     pub(super) adapters: &'a BTreeMap<AdapterId, CopyState>,
 }
 
 /// One hosted model.
 #[derive(Debug)]
-pub(super) struct BoardModel<'a> {
+pub(super) struct DraftModel<'a> {
     pub(super) id: &'a ModelId,
     pub(super) need: &'a ModelNeed,
     pub(super) adapters: Vec<&'a AdapterId>,
@@ -51,16 +51,16 @@
     pub(super) required: u32,
     pub(super) pins: BTreeMap<usize, &'a str>,
     pub(super) forbidden: BTreeMap<usize, &'a str>,
-    pub(super) copies: Vec<BoardCopy>,
+    pub(super) copies: Vec<DraftCopy>,
 }
 
-impl BoardModel<'_> {
-    pub(super) fn is_current(&self, copy: &BoardCopy) -> bool {
+impl DraftModel<'_> {
+    pub(super) fn is_current(&self, copy: &DraftCopy) -> bool {
         copy.version == self.need.version
     }
 
-    pub(super) fn sits_at(&self, seat: usize) -> bool {
-        self.copies.iter().any(|copy| copy.seat == seat)
+    pub(super) fn has_copy_on(&self, slot: usize) -> bool {
+        self.copies.iter().any(|copy| copy.slot == slot)
     }
 
     /// Counts copies that serve or will serve the wanted version.
@@ -73,22 +73,22 @@
 }
 
 /// The placement under change.
-pub(super) struct Board<'a> {
+pub(super) struct DraftPlacement<'a> {
     pub(super) problem: &'a PlanProblem,
-    pub(super) seats: Vec<BoardSeat<'a>>,
-    pub(super) models: Vec<BoardModel<'a>>,
+    pub(super) slots: Vec<EndpointSlot<'a>>,
+    pub(super) models: Vec<DraftModel<'a>>,
     pub(super) index: BTreeMap<&'a ModelId, usize>,
     pub(super) budget: MoveBudget,
     pub(super) outcome: PlanOutcome,
 }
 
-impl<'a> Board<'a> {
+impl<'a> DraftPlacement<'a> {
     pub(super) fn new(problem: &'a PlanProblem) -> Self {
-        let seats: Vec<_> = problem.endpoints.keys().collect();
-        let seat_index: BTreeMap<_, _> = seats.iter().enumerate().map(|(i, id)| (*id, i)).collect();
-        let mut board = Self {
+        let slots: Vec<_> = problem.endpoints.keys().collect();
+        let slot_index: BTreeMap<_, _> = slots.iter().enumerate().map(|(i, id)| (*id, i)).collect();
+        let mut draft = Self {
             problem,
-            seats: build_seats(problem),
+            slots: build_slots(problem),
             models: build_models(problem),
             index: problem
                 .models
@@ -99,12 +99,12 @@
             budget: problem.budget,
             outcome: PlanOutcome::default(),
         };
-        board.add_exceptions(&seat_index);
-        board.add_copies();
-        board
+        draft.add_exceptions(&slot_index);
+        draft.add_copies();
+        draft
     }
 
-    fn add_exceptions(&mut self, seats: &BTreeMap<&EndpointId, usize>) {
+    fn add_exceptions(&mut self, slots: &BTreeMap<&EndpointId, usize>) {
         for exception in &self.problem.exceptions {
             let Some(&index) = self.index.get(&exception.model) else {
                 continue;
@@ -112,13 +112,13 @@
             let model = &mut self.models[index];
             match &exception.rule {
                 ExceptionRule::Pin { endpoint } => {
-                    if let Some(&seat) = seats.get(endpoint) {
-                        model.pins.insert(seat, &exception.reason);
+                    if let Some(&slot) = slots.get(endpoint) {
+                        model.pins.insert(slot, &exception.reason);
                     }
                 }
                 ExceptionRule::Forbid { endpoint } => {
-                    if let Some(&seat) = seats.get(endpoint) {
-                        model.forbidden.insert(seat, &exception.reason);
+                    if let Some(&slot) = slots.get(endpoint) {
+                        model.forbidden.insert(slot, &exception.reason);
                     }
                 }
                 ExceptionRule::MinReplicas { count } => {
@@ -129,23 +129,23 @@
     }
 
     fn add_copies(&mut self) {
-        for (seat, view) in self.problem.endpoints.values().enumerate() {
+        for (slot, view) in self.problem.endpoints.values().enumerate() {
             for holding in &view.holdings {
-                self.add_copy(seat, holding);
+                self.add_copy(slot, holding);
             }
         }
     }
 
-    fn add_copy(&mut self, seat: usize, holding: &HoldingView) {
+    fn add_copy(&mut self, slot: usize, holding: &HoldingView) {
         if holding.state == CopyState::Leaving {
-            self.seats[seat].later += holding.memory.get();
+            self.slots[slot].free_after_unloads += holding.memory.get();
         }
         let Some(&index) = self.index.get(&holding.model) else {
             return;
         };
-        self.seats[seat].models.push(index);
-        self.models[index].copies.push(BoardCopy {
-            seat,
+        self.slots[slot].models.push(index);
+        self.models[index].copies.push(DraftCopy {
+            slot,
             state: holding.state,
             version: holding.version.clone(),
             load: 0.0,
@@ -153,11 +153,11 @@
     }
 
     /// Adds a copy; the load is ordered now if room and the store allow it.
-    pub(super) fn place(&mut self, model: usize, seat: usize, reason: MoveReason) {
+    pub(super) fn place(&mut self, model: usize, slot: usize, reason: MoveReason) {
         let entry = &mut self.models[model];
         let footprint = entry.footprint;
         let planned = PlannedMove {
-            endpoint: self.seats[seat].id.clone(),
+            endpoint: self.slots[slot].id.clone(),
             action: EndpointAction::LoadModel {
                 model: entry.id.clone(),
                 version: entry.need.version.clone(),
@@ -165,30 +165,30 @@
             },
             reason,
         };
-        entry.copies.push(BoardCopy {
-            seat,
+        entry.copies.push(DraftCopy {
+            slot,
             state: CopyState::Arriving,
             version: entry.need.version.clone(),
             load: 0.0,
         });
-        let spot = &mut self.seats[seat];
-        if self.budget.loads > 0 && spot.free >= footprint {
+        let endpoint = &mut self.slots[slot];
+        if self.budget.loads > 0 && endpoint.free >= footprint {
             self.budget.loads -= 1;
-            spot.free -= footprint;
+            endpoint.free -= footprint;
             self.outcome.moves.push(planned);
         } else {
             self.outcome.goals.push(planned);
         }
-        spot.later = spot.later.saturating_sub(footprint);
-        spot.models.push(model);
-        self.carry(model, self.models[model].copies.len() - 1);
+        endpoint.free_after_unloads = endpoint.free_after_unloads.saturating_sub(footprint);
+        endpoint.models.push(model);
+        self.assign_to_new_copy(model, self.models[model].copies.len() - 1);
     }
 
     /// Withdraws a copy.
     pub(super) fn remove(&mut self, model: usize, copy: usize, reason: MoveReason) {
         let released = self.released_memory(model, copy);
         let entry = &mut self.models[model];
-        let seat = entry.copies[copy].seat;
+        let slot = entry.copies[copy].slot;
         let load = entry.copies[copy].load;
         entry.copies[copy].state = CopyState::Leaving;
         entry.copies[copy].load = 0.0;
@@ -197,21 +197,21 @@
             model: entry.id.clone(),
             version: entry.copies[copy].version.clone(),
         };
-        let spot = &mut self.seats[seat];
-        spot.later += released;
-        spot.remaining += load;
+        let endpoint = &mut self.slots[slot];
+        endpoint.free_after_unloads += released;
+        endpoint.remaining_capacity += load;
         self.outcome.moves.push(PlannedMove {
-            endpoint: spot.id.clone(),
+            endpoint: endpoint.id.clone(),
             action,
             reason,
         });
-        self.spread(model);
+        self.spread_deficit(model);
     }
 
     /// Returns the memory that a copy and its adapters give back.
     pub(super) fn released_memory(&self, model: usize, copy: usize) -> u64 {
         let entry = &self.models[model];
-        let held = self.seats[entry.copies[copy].seat].adapters;
+        let held = self.slots[entry.copies[copy].slot].adapters;
         let adapters: u64 = entry
             .adapters
             .iter()
@@ -236,27 +236,27 @@
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|&index| {
             let need = self.models[index].need;
-            (Reverse(need.priority), need.keeper_rank)
+            (Reverse(need.priority), need.rendezvous_rank)
         });
         order
     }
 }
 
-fn build_seats(problem: &PlanProblem) -> Vec<BoardSeat<'_>> {
+fn build_slots(problem: &PlanProblem) -> Vec<EndpointSlot<'_>> {
     problem
         .endpoints
         .iter()
         .map(|(id, view)| {
             let free = view.memory.get().saturating_sub(view.possible.get());
-            let capacity = f64::from(view.accelerators) * MILLI;
-            BoardSeat {
+            let capacity = f64::from(view.accelerators) * MILLI_PER_ACCELERATOR;
+            EndpointSlot {
                 id,
                 accepting: view.accepting,
                 memory: view.memory.get(),
                 free,
-                later: free,
+                free_after_unloads: free,
                 capacity,
-                remaining: capacity,
+                remaining_capacity: capacity,
                 models: Vec::new(),
                 adapters: &view.adapters,
             }
@@ -264,7 +264,7 @@
         .collect()
 }
 
-fn build_models(problem: &PlanProblem) -> Vec<BoardModel<'_>> {
+fn build_models(problem: &PlanProblem) -> Vec<DraftModel<'_>> {
     let mut adapters: BTreeMap<&ModelId, Vec<&AdapterId>> = BTreeMap::new();
     for (id, need) in &problem.adapters {
         adapters.entry(&need.model).or_default().push(id);
@@ -280,7 +280,7 @@
                 .filter_map(|adapter| problem.adapters.get(*adapter))
                 .map(|adapter| adapter.memory.get())
                 .sum();
-            BoardModel {
+            DraftModel {
                 id,
                 need,
                 adapters,
@@ -298,12 +298,12 @@
 }
 
 /// Returns the adapters that only one set of seats holds.
-pub(super) fn held_elsewhere(
-    board: &Board<'_>,
+pub(super) fn is_ready_on(
+    draft: &DraftPlacement<'_>,
     adapter: &AdapterId,
-    ready_seats: &BTreeSet<usize>,
+    ready_slots: &BTreeSet<usize>,
 ) -> bool {
-    ready_seats
+    ready_slots
         .iter()
-        .any(|&seat| board.seats[seat].adapters.get(adapter) == Some(&CopyState::Ready))
+        .any(|&slot| draft.slots[slot].adapters.get(adapter) == Some(&CopyState::Ready))
 }
--- a/crates/clementinepond_decide/src/plan/planner/assign.rs
+++ b/crates/clementinepond_decide/src/plan/planner/load_assignment.rs
@@ -5,14 +5,14 @@
 //! their endpoints have left.
 
 use super::CopyState;
-use super::board::Board;
+use super::draft::DraftPlacement;
 
 /// Smallest share of an endpoint that interference leaves.
-const INTERFERENCE_FLOOR: f64 = 0.6;
+const MIN_CAPACITY_SHARE: f64 = 0.6;
 
-impl Board<'_> {
+impl DraftPlacement<'_> {
     /// Assigns the load of every model.
-    pub(super) fn assign(&mut self) {
+    pub(super) fn assign_load(&mut self) {
         self.apply_interference();
         for model in &mut self.models {
             model.deficit = model.load;
@@ -20,38 +20,39 @@
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|&index| self.models[index].copies.len());
         for &index in &order {
-            self.spread(index);
+            self.spread_deficit(index);
         }
         for &index in &order {
-            self.spread(index);
+            self.spread_deficit(index);
         }
     }
 
     fn apply_interference(&mut self) {
         let loss = f64::from(self.problem.tuning.interference_percent) / 100.0;
-        for seat in &mut self.seats {
-            let busy = seat
+        for slot in &mut self.slots {
+            let busy = slot
                 .models
                 .iter()
                 .filter(|&&index| self.models[index].load > 0.0)
                 .count();
             let others = u32::try_from(busy.saturating_sub(1)).unwrap_or(u32::MAX);
-            let share = (1.0 - loss * f64::from(others)).max(INTERFERENCE_FLOOR);
-            seat.capacity *= share;
-            seat.remaining = seat.capacity;
+            let share = (1.0 - loss * f64::from(others)).max(MIN_CAPACITY_SHARE);
+            slot.capacity *= share;
+            slot.remaining_capacity = slot.capacity;
         }
     }
 
     /// Spreads what a model still lacks over its copies.
-    pub(super) fn spread(&mut self, model: usize) {
+    pub(super) fn spread_deficit(&mut self, model: usize) {
         let entry = &mut self.models[model];
         let limit = entry.need.replica_limit;
-        let spare = |load: f64, remaining: f64| (limit - load).min(remaining).max(0.0);
+        let spare =
+            |load: f64, remaining_capacity: f64| (limit - load).min(remaining_capacity).max(0.0);
         let total: f64 = entry
             .copies
             .iter()
             .filter(|copy| copy.state != CopyState::Leaving)
-            .map(|copy| spare(copy.load, self.seats[copy.seat].remaining))
+            .map(|copy| spare(copy.load, self.slots[copy.slot].remaining_capacity))
             .sum();
         if total <= 0.0 || entry.deficit <= 0.0 {
             return;
@@ -61,32 +62,32 @@
             if copy.state == CopyState::Leaving {
                 continue;
             }
-            let seat = &mut self.seats[copy.seat];
-            let taken = spare(copy.load, seat.remaining) * share;
+            let slot = &mut self.slots[copy.slot];
+            let taken = spare(copy.load, slot.remaining_capacity) * share;
             copy.load += taken;
-            seat.remaining -= taken;
+            slot.remaining_capacity -= taken;
             entry.deficit -= taken;
         }
     }
 
     /// Gives a new copy what its model still lacks.
-    pub(super) fn carry(&mut self, model: usize, copy: usize) {
+    pub(super) fn assign_to_new_copy(&mut self, model: usize, copy: usize) {
         let entry = &mut self.models[model];
         let target = &mut entry.copies[copy];
-        let seat = &mut self.seats[target.seat];
+        let slot = &mut self.slots[target.slot];
         let taken = entry
             .deficit
             .min(entry.need.replica_limit - target.load)
-            .min(seat.remaining)
+            .min(slot.remaining_capacity)
             .max(0.0);
         target.load += taken;
-        seat.remaining -= taken;
+        slot.remaining_capacity -= taken;
         entry.deficit -= taken;
     }
 
     /// Returns the load that is lost if a copy goes: what the other copies
     /// cannot take over now, and a part of what it may be needed for again.
-    pub(super) fn loss(&self, model: usize, copy: usize) -> f64 {
+    pub(super) fn removal_loss(&self, model: usize, copy: usize) -> f64 {
         let entry = &self.models[model];
         let others = || {
             entry
@@ -98,14 +99,14 @@
         let spare: f64 = others()
             .map(|(_, other)| {
                 (entry.need.replica_limit - other.load)
-                    .min(self.seats[other.seat].remaining)
+                    .min(self.slots[other.slot].remaining_capacity)
                     .max(0.0)
             })
             .sum();
         let count = u32::try_from(others().count() + 1).unwrap_or(u32::MAX);
-        let held = entry.need.held / f64::from(count);
-        let regret = f64::from(self.problem.tuning.regret_percent) / 100.0;
+        let recent_peak = entry.need.recent_peak / f64::from(count);
+        let penalty = f64::from(self.problem.tuning.removal_penalty_percent) / 100.0;
         let lost = (entry.copies[copy].load - spare).max(0.0);
-        (lost + regret * held) * entry.weight
+        (lost + penalty * recent_peak) * entry.weight
     }
 }
--- a/crates/clementinepond_decide/src/plan/planner/mod.rs
+++ b/crates/clementinepond_decide/src/plan/planner/mod.rs
@@ -7,13 +7,13 @@
 //! a version or to obey an exception.
 
 mod adapters;
-mod assign;
-mod board;
+mod draft;
+mod load_assignment;
 mod outcome;
+mod placement_option;
 mod problem;
-mod room;
+mod relocation;
 mod stages;
-mod stones;
 mod tuning;
 
 pub use outcome::{MoveReason, PlanOutcome, PlannedMove, UnplacedItem, UnplacedReason};
@@ -22,18 +22,18 @@
 };
 pub use tuning::PlannerTuning;
 
-use board::Board;
+use draft::DraftPlacement;
 
 /// Plans the next moves.
 #[must_use]
 pub fn plan(problem: &PlanProblem) -> PlanOutcome {
-    let mut board = Board::new(problem);
-    board.assign();
-    stages::remove_unwanted(&mut board);
-    stages::place_required(&mut board);
-    stages::follow_versions(&mut board);
-    stages::follow_demand(&mut board);
-    stages::cover(&mut board);
-    adapters::place(&mut board);
-    board.outcome
+    let mut draft = DraftPlacement::new(problem);
+    draft.assign_load();
+    stages::unload_unwanted(&mut draft);
+    stages::place_required(&mut draft);
+    stages::replace_old_versions(&mut draft);
+    stages::add_copies_for_demand(&mut draft);
+    stages::fill_free_memory(&mut draft);
+    adapters::place(&mut draft);
+    draft.outcome
 }
--- a/crates/clementinepond_decide/src/plan/planner/outcome.rs
+++ b/crates/clementinepond_decide/src/plan/planner/outcome.rs
@@ -30,13 +30,13 @@
     },
     /// Room is free.
     #[display("free room")]
-    FreeRoom,
+    FreeMemory,
     /// The room is needed.
     #[display("room for {_0}")]
-    RoomFor(ModelId),
+    MemoryFor(ModelId),
     /// The copy lets another copy make room.
     #[display("stepping stone for {_0}")]
-    SteppingStone(ModelId),
+    Relocation(ModelId),
     /// The model or adapter is hosted no more.
     #[display("no longer hosted")]
     NotHosted,
--- a/crates/clementinepond_decide/src/plan/planner/problem.rs
+++ b/crates/clementinepond_decide/src/plan/planner/problem.rs
@@ -60,11 +60,11 @@
     /// Copies that must be kept here.
     pub min_copies: u32,
     /// Data centres that come before this one in keeping the model.
-    pub keeper_rank: usize,
+    pub rendezvous_rank: usize,
     /// Load to prepare for, in thousandths of an accelerator.
     pub load: f64,
     /// Load that copies are kept for, in thousandths of an accelerator.
-    pub held: f64,
+    pub recent_peak: f64,
 }
 
 /// What one adapter needs.
--- a/crates/clementinepond_decide/src/plan/planner/stages.rs
+++ b/crates/clementinepond_decide/src/plan/planner/stages.rs
@@ -1,20 +1,20 @@
 //! The stages of a plan, in the order of their importance.
 
-use super::board::Board;
-use super::room::RoomChoice;
+use super::draft::DraftPlacement;
+use super::placement_option::PlacementOption;
 use super::{CopyState, MoveReason, UnplacedReason};
 use crate::plan::EndpointAction;
 use crate::plan::planner::PlannedMove;
 
 /// Models tried for a replacement in one round of the demand stage.
-const REPLACEMENT_CANDIDATES: usize = 8;
+const MAX_REPLACEMENT_MODELS: usize = 8;
 
 /// Unloads what is hosted no more or forbidden by an exception.
-pub(super) fn remove_unwanted(board: &mut Board<'_>) {
-    for (id, view) in &board.problem.endpoints {
+pub(super) fn unload_unwanted(draft: &mut DraftPlacement<'_>) {
+    for (id, view) in &draft.problem.endpoints {
         for holding in view.holdings.iter().filter(|_| view.accepting) {
-            if holding.state == CopyState::Ready && !board.index.contains_key(&holding.model) {
-                board.outcome.moves.push(PlannedMove {
+            if holding.state == CopyState::Ready && !draft.index.contains_key(&holding.model) {
+                draft.outcome.moves.push(PlannedMove {
                     endpoint: id.clone(),
                     action: EndpointAction::UnloadModel {
                         model: holding.model.clone(),
@@ -25,37 +25,37 @@
             }
         }
     }
-    for model in 0..board.models.len() {
-        for copy in 0..board.models[model].copies.len() {
-            let seat = board.models[model].copies[copy].seat;
-            let Some(&reason) = board.models[model].forbidden.get(&seat) else {
+    for model in 0..draft.models.len() {
+        for copy in 0..draft.models[model].copies.len() {
+            let slot = draft.models[model].copies[copy].slot;
+            let Some(&reason) = draft.models[model].forbidden.get(&slot) else {
                 continue;
             };
-            if board.removable(model, copy) {
-                board.remove(model, copy, MoveReason::Exception(reason.into()));
+            if draft.removable(model, copy) {
+                draft.remove(model, copy, MoveReason::Exception(reason.into()));
             }
         }
     }
 }
 
 /// Places the copies that must exist.
-pub(super) fn place_required(board: &mut Board<'_>) {
-    for model in board.by_priority() {
-        let pins: Vec<(usize, Box<str>)> = board.models[model]
+pub(super) fn place_required(draft: &mut DraftPlacement<'_>) {
+    for model in draft.by_priority() {
+        let pins: Vec<(usize, Box<str>)> = draft.models[model]
             .pins
             .iter()
-            .map(|(seat, reason)| (*seat, (*reason).into()))
+            .map(|(slot, reason)| (*slot, (*reason).into()))
             .collect();
-        for (seat, reason) in pins {
-            place_pinned(board, model, seat, reason);
+        for (slot, reason) in pins {
+            place_pinned(draft, model, slot, reason);
         }
-        let required = board.models[model].required;
-        let found = allowed_copies(board, model);
+        let required = draft.models[model].required;
+        let found = allowed_copies(draft, model);
         let missing = usize::try_from(required)
             .unwrap_or(usize::MAX)
             .saturating_sub(found);
         for _ in 0..missing {
-            if !place_one(board, model, MoveReason::Required { found, required }) {
+            if !place_one(draft, model, MoveReason::Required { found, required }) {
                 break;
             }
         }
@@ -63,50 +63,50 @@
 }
 
 /// Counts copies of any version that serve or will serve at an allowed seat.
-fn allowed_copies(board: &Board<'_>, model: usize) -> usize {
-    let entry = &board.models[model];
+fn allowed_copies(draft: &DraftPlacement<'_>, model: usize) -> usize {
+    let entry = &draft.models[model];
     entry
         .copies
         .iter()
         .filter(|copy| {
-            copy.state != CopyState::Leaving && !entry.forbidden.contains_key(&copy.seat)
+            copy.state != CopyState::Leaving && !entry.forbidden.contains_key(&copy.slot)
         })
         .count()
 }
 
-fn place_pinned(board: &mut Board<'_>, model: usize, seat: usize, reason: Box<str>) {
-    if !board.may_sit(model, seat) {
+fn place_pinned(draft: &mut DraftPlacement<'_>, model: usize, slot: usize, reason: Box<str>) {
+    if !draft.may_place(model, slot) {
         return;
     }
-    if let Some(choice) = board.make_room(model, seat) {
-        take(board, model, choice, MoveReason::Exception(reason));
+    if let Some(option) = draft.option_at(model, slot) {
+        apply_option(draft, model, option, MoveReason::Exception(reason));
     } else {
-        board.unplaced(model, UnplacedReason::NoRoom);
+        draft.unplaced(model, UnplacedReason::NoRoom);
     }
 }
 
 /// Places one copy wherever it costs least; returns whether there is a way.
-fn place_one(board: &mut Board<'_>, model: usize, reason: MoveReason) -> bool {
-    if let Some(choice) = board.cheapest_room(model) {
-        take(board, model, choice, reason);
+fn place_one(draft: &mut DraftPlacement<'_>, model: usize, reason: MoveReason) -> bool {
+    if let Some(option) = draft.cheapest_option(model) {
+        apply_option(draft, model, option, reason);
         return true;
     }
-    if board.step_aside(model) {
+    if draft.relocate_for(model) {
         return true;
     }
-    let why = why_unplaced(board, model);
-    board.unplaced(model, why);
+    let why = unplaced_reason(draft, model);
+    draft.unplaced(model, why);
     false
 }
 
-fn why_unplaced(board: &Board<'_>, model: usize) -> UnplacedReason {
-    let entry = &board.models[model];
-    let largest = board
-        .seats
+fn unplaced_reason(draft: &DraftPlacement<'_>, model: usize) -> UnplacedReason {
+    let entry = &draft.models[model];
+    let largest = draft
+        .slots
         .iter()
         .enumerate()
-        .filter(|(seat, spot)| spot.accepting && !entry.forbidden.contains_key(seat))
-        .map(|(_, spot)| spot.memory)
+        .filter(|(slot, endpoint)| endpoint.accepting && !entry.forbidden.contains_key(slot))
+        .map(|(_, endpoint)| endpoint.memory)
         .max();
     match largest {
         None => UnplacedReason::NoEndpoint,
@@ -118,31 +118,36 @@
     }
 }
 
-fn take(board: &mut Board<'_>, model: usize, choice: RoomChoice, reason: MoveReason) {
-    let id = board.models[model].id.clone();
-    for (other, copy) in choice.removed {
-        board.remove(other, copy, MoveReason::RoomFor(id.clone()));
+fn apply_option(
+    draft: &mut DraftPlacement<'_>,
+    model: usize,
+    option: PlacementOption,
+    reason: MoveReason,
+) {
+    let id = draft.models[model].id.clone();
+    for (other, copy) in option.removed {
+        draft.remove(other, copy, MoveReason::MemoryFor(id.clone()));
     }
-    board.place(model, choice.seat, reason);
+    draft.place(model, option.slot, reason);
 }
 
 /// Replaces copies of earlier versions one by one.
-pub(super) fn follow_versions(board: &mut Board<'_>) {
-    for model in board.by_priority() {
-        let wanted = wanted_copies(board, model);
-        if earlier_copies(board, model).next().is_none() {
+pub(super) fn replace_old_versions(draft: &mut DraftPlacement<'_>) {
+    for model in draft.by_priority() {
+        let wanted = needed_copies(draft, model);
+        if old_copies(draft, model).next().is_none() {
             continue;
         }
-        let current = board.models[model].current_copies();
-        if current < wanted && !place_beside(board, model) {
-            place_one(board, model, MoveReason::Version);
+        let current = draft.models[model].current_copies();
+        if current < wanted && !place_on_same_endpoint(draft, model) {
+            place_one(draft, model, MoveReason::Version);
         }
-        retire_earlier(board, model, wanted);
+        unload_earlier_versions(draft, model, wanted);
     }
 }
 
-fn earlier_copies<'b>(board: &'b Board<'_>, model: usize) -> impl Iterator<Item = usize> + 'b {
-    let entry = &board.models[model];
+fn old_copies<'b>(draft: &'b DraftPlacement<'_>, model: usize) -> impl Iterator<Item = usize> + 'b {
+    let entry = &draft.models[model];
     entry
         .copies
         .iter()
@@ -152,33 +157,33 @@
 }
 
 /// Loads the new version on an endpoint that holds the earlier one.
-fn place_beside(board: &mut Board<'_>, model: usize) -> bool {
-    let seat = earlier_copies(board, model)
-        .map(|copy| board.models[model].copies[copy].seat)
-        .find(|&seat| {
-            board.may_sit(model, seat) && board.seats[seat].free >= board.models[model].footprint
+fn place_on_same_endpoint(draft: &mut DraftPlacement<'_>, model: usize) -> bool {
+    let slot = old_copies(draft, model)
+        .map(|copy| draft.models[model].copies[copy].slot)
+        .find(|&slot| {
+            draft.may_place(model, slot) && draft.slots[slot].free >= draft.models[model].footprint
         });
-    if let Some(seat) = seat {
-        board.place(model, seat, MoveReason::Version);
+    if let Some(slot) = slot {
+        draft.place(model, slot, MoveReason::Version);
     }
-    seat.is_some()
+    slot.is_some()
 }
 
-fn retire_earlier(board: &mut Board<'_>, model: usize, wanted: usize) {
-    let earlier: Vec<usize> = earlier_copies(board, model).collect();
-    let ready = board.models[model]
+fn unload_earlier_versions(draft: &mut DraftPlacement<'_>, model: usize, wanted: usize) {
+    let earlier: Vec<usize> = old_copies(draft, model).collect();
+    let ready = draft.models[model]
         .copies
         .iter()
-        .filter(|copy| board.models[model].is_current(copy) && copy.state == CopyState::Ready)
+        .filter(|copy| draft.models[model].is_current(copy) && copy.state == CopyState::Ready)
         .count();
-    let unprotected = board.problem.last_copy_unprotected || board.problem.arriving_counts_as_ready;
+    let unprotected = draft.problem.last_copy_unprotected || draft.problem.arriving_counts_as_ready;
     if ready == 0 && !unprotected {
         return;
     }
     let spare = (ready + earlier.len()).saturating_sub(wanted);
     for copy in earlier.into_iter().take(spare.max(1)) {
-        if board.removable(model, copy) {
-            board.remove(model, copy, MoveReason::Version);
+        if draft.removable(model, copy) {
+            draft.remove(model, copy, MoveReason::Version);
         }
     }
 }
@@ -189,8 +194,8 @@
     clippy::cast_sign_loss,
     reason = "the quotient is a small count"
 )]
-fn wanted_copies(board: &Board<'_>, model: usize) -> usize {
-    let entry = &board.models[model];
+fn needed_copies(draft: &DraftPlacement<'_>, model: usize) -> usize {
+    let entry = &draft.models[model];
     let by_load = (entry.load / entry.need.replica_limit.max(1.0)).ceil() as usize;
     by_load
         .max(usize::try_from(entry.required).unwrap_or(1))
@@ -198,37 +203,38 @@
 }
 
 /// Adds copies where they serve most besides.
-pub(super) fn follow_demand(board: &mut Board<'_>) {
-    let pipeline = usize::try_from(board.problem.tuning.pipeline).unwrap_or(usize::MAX);
-    for _ in 0..board.problem.tuning.picks {
-        if board.budget.loads == 0 && board.outcome.goals.len() >= pipeline {
+pub(super) fn add_copies_for_demand(draft: &mut DraftPlacement<'_>) {
+    let max_waiting_loads =
+        usize::try_from(draft.problem.tuning.max_waiting_loads).unwrap_or(usize::MAX);
+    for _ in 0..draft.problem.tuning.max_demand_placements {
+        if draft.budget.loads == 0 && draft.outcome.goals.len() >= max_waiting_loads {
             return;
         }
-        let Some((model, gain, choice)) = best_pick(board) else {
+        let Some((model, gain, option)) = best_candidate(draft) else {
             return;
         };
-        take(board, model, choice, MoveReason::Demand { gain });
+        apply_option(draft, model, option, MoveReason::Demand { gain });
     }
 }
 
-fn best_pick(board: &Board<'_>) -> Option<(usize, u64, RoomChoice)> {
-    let mut best: Option<(f64, usize, RoomChoice)> = None;
-    let mut short: Vec<usize> = (0..board.models.len())
-        .filter(|&model| board.models[model].deficit > 0.0)
+fn best_candidate(draft: &DraftPlacement<'_>) -> Option<(usize, u64, PlacementOption)> {
+    let mut best: Option<(f64, usize, PlacementOption)> = None;
+    let mut underserved: Vec<usize> = (0..draft.models.len())
+        .filter(|&model| draft.models[model].deficit > 0.0)
         .collect();
-    short.sort_by(|&left, &right| {
-        let rank = |model: usize| board.models[model].deficit * board.models[model].weight;
+    underserved.sort_by(|&left, &right| {
+        let rank = |model: usize| draft.models[model].deficit * draft.models[model].weight;
         rank(right).total_cmp(&rank(left))
     });
-    for &model in &short {
-        consider(board, model, free_pick(board, model), &mut best);
+    for &model in &underserved {
+        consider(draft, model, best_free_slot(draft, model), &mut best);
     }
-    for &model in short.iter().take(REPLACEMENT_CANDIDATES) {
-        consider(board, model, replacement_pick(board, model), &mut best);
+    for &model in underserved.iter().take(MAX_REPLACEMENT_MODELS) {
+        consider(draft, model, best_replacement(draft, model), &mut best);
     }
-    best.map(|(_, model, choice)| {
-        let gain = whole(gain_at(board, model, choice.seat));
-        (model, gain, choice)
+    best.map(|(_, model, option)| {
+        let gain = round_load(gain_at(draft, model, option.slot));
+        (model, gain, option)
     })
 }
 
@@ -237,91 +243,91 @@
     clippy::cast_sign_loss,
     reason = "loads are far below 2^52"
 )]
-fn whole(load: f64) -> u64 {
+fn round_load(load: f64) -> u64 {
     load.round() as u64
 }
 
 fn consider(
-    board: &Board<'_>,
+    draft: &DraftPlacement<'_>,
     model: usize,
-    choice: Option<RoomChoice>,
-    best: &mut Option<(f64, usize, RoomChoice)>,
+    option: Option<PlacementOption>,
+    best: &mut Option<(f64, usize, PlacementOption)>,
 ) {
-    let Some(choice) = choice else {
+    let Some(option) = option else {
         return;
     };
-    let weight = board.models[model].weight;
-    let net = gain_at(board, model, choice.seat) * weight - choice.loss;
-    let tuning = &board.problem.tuning;
-    let unloads = u32::try_from(choice.removed.len()).unwrap_or(u32::MAX);
+    let weight = draft.models[model].weight;
+    let net = gain_at(draft, model, option.slot) * weight - option.removal_loss;
+    let tuning = &draft.problem.tuning;
+    let unloads = u32::try_from(option.removed.len()).unwrap_or(u32::MAX);
     let percent = f64::from(tuning.smallest_gain_percent)
         + f64::from(tuning.unload_cost_percent) * f64::from(unloads);
-    let cost = board.models[model].need.replica_limit * percent / 100.0;
-    let over_loss = f64::from(tuning.gain_over_loss_percent) / 100.0 * choice.loss;
-    if net < cost || net + choice.loss < over_loss {
+    let cost = draft.models[model].need.replica_limit * percent / 100.0;
+    let over_loss = f64::from(tuning.gain_over_loss_percent) / 100.0 * option.removal_loss;
+    if net < cost || net + option.removal_loss < over_loss {
         return;
     }
     if best.as_ref().is_none_or(|(held, ..)| net > *held) {
-        *best = Some((net, model, choice));
+        *best = Some((net, model, option));
     }
 }
 
 /// Returns the load that a copy at a seat would serve besides.
-fn gain_at(board: &Board<'_>, model: usize, seat: usize) -> f64 {
-    let entry = &board.models[model];
+fn gain_at(draft: &DraftPlacement<'_>, model: usize, slot: usize) -> f64 {
+    let entry = &draft.models[model];
     entry
         .deficit
         .min(entry.need.replica_limit)
-        .min(board.seats[seat].remaining)
+        .min(draft.slots[slot].remaining_capacity)
         .max(0.0)
 }
 
-fn free_pick(board: &Board<'_>, model: usize) -> Option<RoomChoice> {
-    let footprint = board.models[model].footprint;
-    (0..board.seats.len())
-        .filter(|&seat| board.seats[seat].free >= footprint && board.may_sit(model, seat))
-        .map(|seat| (gain_at(board, model, seat), seat))
+fn best_free_slot(draft: &DraftPlacement<'_>, model: usize) -> Option<PlacementOption> {
+    let footprint = draft.models[model].footprint;
+    (0..draft.slots.len())
+        .filter(|&slot| draft.slots[slot].free >= footprint && draft.may_place(model, slot))
+        .map(|slot| (gain_at(draft, model, slot), slot))
         .max_by(|left, right| left.0.total_cmp(&right.0))
-        .map(|(_, seat)| RoomChoice {
-            seat,
+        .map(|(_, slot)| PlacementOption {
+            slot,
             removed: Vec::new(),
-            loss: 0.0,
+            removal_loss: 0.0,
         })
 }
 
-fn replacement_pick(board: &Board<'_>, model: usize) -> Option<RoomChoice> {
-    let weight = board.models[model].weight;
-    let mut best: Option<(f64, RoomChoice)> = None;
-    for seat in 0..board.seats.len() {
-        let gain = gain_at(board, model, seat) * weight;
-        let is_hopeless = best.as_ref().is_some_and(|(held, _)| gain <= *held);
-        if gain <= 0.0 || is_hopeless || !board.may_sit(model, seat) {
+fn best_replacement(draft: &DraftPlacement<'_>, model: usize) -> Option<PlacementOption> {
+    let weight = draft.models[model].weight;
+    let mut best: Option<(f64, PlacementOption)> = None;
+    for slot in 0..draft.slots.len() {
+        let gain = gain_at(draft, model, slot) * weight;
+        let cannot_improve = best.as_ref().is_some_and(|(held, _)| gain <= *held);
+        if gain <= 0.0 || cannot_improve || !draft.may_place(model, slot) {
             continue;
         }
-        let Some(choice) = board.make_room(model, seat) else {
+        let Some(option) = draft.option_at(model, slot) else {
             continue;
         };
-        let net = gain - choice.loss;
+        let net = gain - option.removal_loss;
         if best.as_ref().is_none_or(|(held, _)| net > *held) {
-            best = Some((net, choice));
+            best = Some((net, option));
         }
     }
-    best.map(|(_, choice)| choice)
+    best.map(|(_, option)| option)
 }
 
 /// Uses free room for models with few copies.
-pub(super) fn cover(board: &mut Board<'_>) {
-    for copies in 1..=board.problem.tuning.free_copies {
-        for model in board.by_priority() {
-            if board.budget.loads == 0 {
+pub(super) fn fill_free_memory(draft: &mut DraftPlacement<'_>) {
+    for copies in 1..=draft.problem.tuning.free_copies {
+        for model in draft.by_priority() {
+            if draft.budget.loads == 0 {
                 return;
             }
             let wanted = usize::try_from(copies).unwrap_or(usize::MAX);
-            if allowed_copies(board, model) >= wanted {
+            if allowed_copies(draft, model) >= wanted {
                 continue;
             }
-            if let Some(choice) = free_pick(board, model) {
-                take(board, model, choice, MoveReason::FreeRoom);
+            if let Some(option) = best_free_slot(draft, model) {
+                apply_option(draft, model, option, MoveReason::FreeMemory);
             }
         }
     }
--- a/crates/clementinepond_decide/src/plan/planner/tuning.rs
+++ b/crates/clementinepond_decide/src/plan/planner/tuning.rs
@@ -18,11 +18,14 @@
     /// Gain over the loss that a replacement must bring, in hundredths.
     pub gain_over_loss_percent: u32,
     /// Part of a copy's past load that counts as lost with it, in hundredths.
-    pub regret_percent: u32,
+    #[serde(rename = "regret_percent")]
+    pub removal_penalty_percent: u32,
     /// Most loads considered in one plan.
-    pub picks: u32,
+    #[serde(rename = "picks")]
+    pub max_demand_placements: u32,
     /// Loads for which room may be made ahead of the weight store.
-    pub pipeline: u32,
+    #[serde(rename = "pipeline")]
+    pub max_waiting_loads: u32,
     /// Copies of each model that are kept where room is free.
     pub free_copies: u32,
     /// Time constant of the level of demand.
@@ -43,9 +46,9 @@
             smallest_gain_percent: 3,
             unload_cost_percent: 4,
             gain_over_loss_percent: 150,
-            regret_percent: 5,
-            picks: 8,
-            pipeline: 3,
+            removal_penalty_percent: 5,
+            max_demand_placements: 8,
+            max_waiting_loads: 3,
             free_copies: 1,
             level_time: TimeSpan::from_secs(15),
             trend_time: TimeSpan::from_secs(180),
--- a/crates/clementinepond_decide/src/plan/view.rs
+++ b/crates/clementinepond_decide/src/plan/planning.rs
@@ -15,10 +15,10 @@
 pub(super) fn plan_moves(state: &mut PlanState, now: LocalTime) {
     let problem = problem(state, now);
     let outcome = planner::plan(&problem);
-    begin(state, outcome, now);
+    start_moves(state, outcome, now);
 }
 
-fn begin(state: &mut PlanState, outcome: PlanOutcome, now: LocalTime) {
+fn start_moves(state: &mut PlanState, outcome: PlanOutcome, now: LocalTime) {
     for planned in outcome.moves {
         if let Some(key) = planned.action.unloaded() {
             draining::begin(state, &planned.endpoint, key, now);
@@ -121,16 +121,16 @@
         version: spec.version.clone(),
         memory: spec.memory_mib,
         priority: spec.priority,
-        replica_limit: replica_limit(spec.replica_limit.milli()),
-        min_copies: required_here(state, id),
-        keeper_rank: state.catalogue.keeper_rank(id, &state.data_centre),
+        replica_limit: to_float(spec.replica_limit.milli()),
+        min_copies: required_copies(state, id),
+        rendezvous_rank: state.catalogue.rendezvous_rank(id, &state.data_centre),
         load: forecast.map_or(0.0, |forecast| forecast.expected(tuning)),
-        held: forecast.map_or(0.0, |forecast| forecast.held()),
+        recent_peak: forecast.map_or(0.0, |forecast| forecast.recent_peak()),
     })
 }
 
 #[expect(clippy::cast_precision_loss, reason = "loads are far below 2^52")]
-fn replica_limit(milli: u64) -> f64 {
+fn to_float(milli: u64) -> f64 {
     milli as f64
 }
 
@@ -139,7 +139,7 @@
 /// It may go without a copy as long as it can reach a data centre that has
 /// one ready and comes before it in the model's order. The first of those
 /// that have a copy therefore never lets go of it, whatever the others do.
-pub(super) fn required_here(state: &PlanState, model: &ModelId) -> u32 {
+pub(super) fn required_copies(state: &PlanState, model: &ModelId) -> u32 {
     let Some(spec) = state.catalogue.models.get(model) else {
         return 0;
     };
@@ -168,7 +168,7 @@
         memory: report.memory_mib,
         possible: entry.ledger.possible(report, &state.adapter_memory),
         accelerators: spec.accelerators,
-        accepting: is_serving && entry.settled && writing::may_order(&state.phase, entry),
+        accepting: is_serving && entry.confirmed && writing::may_order(&state.phase, entry),
         holdings: holdings(entry, report, is_serving),
         adapters: adapters(entry, report),
     })
@@ -271,12 +271,12 @@
     let arriving = |state: &CopyState| *state == CopyState::Arriving;
     let loads = endpoints
         .values()
-        .flat_map(|view| &view.holdings)
+        .flat_map(|planning| &planning.holdings)
         .filter(|holding| arriving(&holding.state))
         .count();
     let adapters = endpoints
         .values()
-        .flat_map(|view| view.adapters.values())
+        .flat_map(|planning| planning.adapters.values())
         .filter(|state| arriving(state))
         .count();
     let open = share
@@ -291,7 +291,7 @@
 }
 
 /// Returns whether another copy of a model certainly serves.
-pub(super) fn has_other_ready(
+pub(super) fn has_other_ready_copy(
     state: &PlanState,
     endpoint: &EndpointId,
     key: &HoldingKey,
@@ -305,7 +305,7 @@
             return false;
         };
         entry.spec.is_some()
-            && entry.settled
+            && entry.confirmed
             && is_serving(state, entry, report, now)
             && report.models.iter().any(|held| {
                 let held_key = HoldingKey::Model(held.model.clone(), held.version.clone());
--- a/crates/clementinepond_decide/src/plan/intake.rs
+++ b/crates/clementinepond_decide/src/plan/platform_reply.rs
@@ -32,12 +32,12 @@
     match reply {
         StoreReply::Stored { version } => {
             if pending_id(&state.phase) == Some(write) {
-                return landed(state, version, now);
+                return complete_write(state, version, now);
             }
             Vec::new()
         }
         StoreReply::Conflict(found) => {
-            let (version, value) = split(found);
+            let (version, value) = into_parts(found);
             observe(state, version, value, now)
         }
         StoreReply::Unknown => {
@@ -45,14 +45,14 @@
                 && let Some(pending) = pending_mut(&mut state.phase)
             {
                 pending.answer_lost = true;
-                return vec![read(state)];
+                return vec![read_effect(state)];
             }
             Vec::new()
         }
     }
 }
 
-fn split(found: Option<VersionedObject<PlanObject>>) -> (ObjectVersion, Option<PlanObject>) {
+fn into_parts(found: Option<VersionedObject<PlanObject>>) -> (ObjectVersion, Option<PlanObject>) {
     match found {
         Some(found) => (found.version, Some(found.value)),
         None => (ObjectVersion::default(), None),
@@ -60,7 +60,7 @@
 }
 
 /// Asks for the plan object.
-pub(super) fn read(state: &PlanState) -> PlanEffect {
+pub(super) fn read_effect(state: &PlanState) -> PlanEffect {
     PlanEffect::Read {
         data_centre: state.data_centre.clone(),
     }
@@ -91,7 +91,7 @@
     now: LocalTime,
 ) -> Vec<PlanEffect> {
     if let LeasePhase::Follower(lease) = &mut state.phase {
-        lease.note(version, value, now);
+        lease.record(version, value, now);
         return Vec::new();
     }
     if let LeasePhase::Acquiring(lease) = &state.phase {
@@ -113,7 +113,7 @@
         .as_ref()
         .is_some_and(|object| object.is_from(&state.vm, write.object.nonce));
     if is_own {
-        return landed(state, version, now);
+        return complete_write(state, version, now);
     }
     if version > write.if_version || (value.is_none() && write.if_version.get() > 0) {
         step_down(state, version, value, now);
@@ -137,11 +137,11 @@
         return Vec::new();
     };
     if version <= term.version && value.is_some() {
-        let is_unlanded = version == term.version;
+        let is_not_stored = version == term.version;
         let is_lost = term.write.as_ref().is_some_and(|write| write.answer_lost);
-        if is_unlanded && is_lost {
+        if is_not_stored && is_lost {
             // It may still land; the next write has a number of its own.
-            term.drop_write();
+            term.abandon_write();
         }
         return Vec::new();
     }
@@ -155,11 +155,11 @@
     };
     let expected = term.write.as_ref().map(|write| write.object.renewals);
     if expected == Some(renewals) {
-        return landed(state, version, now);
+        return complete_write(state, version, now);
     }
     // An earlier write of this term landed late; the next one follows it.
     term.version = version;
-    term.drop_write();
+    term.abandon_write();
     Vec::new()
 }
 
@@ -177,7 +177,11 @@
 }
 
 /// The write under way has landed.
-fn landed(state: &mut PlanState, version: ObjectVersion, now: LocalTime) -> Vec<PlanEffect> {
+fn complete_write(
+    state: &mut PlanState,
+    version: ObjectVersion,
+    now: LocalTime,
+) -> Vec<PlanEffect> {
     if let LeasePhase::Acquiring(lease) = &state.phase {
         let lease = lease.clone();
         acquire(state, lease, version, now);
@@ -215,18 +219,18 @@
     } else {
         lease.state.write.sent_at
     };
-    let quiet_at = lease.state.quiet_at;
+    let effect_end = lease.state.effect_end;
     state.next_number = OrderNumber::first_of(lease.state.write.object.fencing);
     let inherited = lease.state.write.object.orders.clone();
     state.phase = LeasePhase::Waiting(lease.acquired(version, settings, counted_from));
-    let is_trusting = settings.mutated(PlanMutation::NoBarrierOnTakeover);
+    let skips_barrier = settings.mutated(PlanMutation::NoBarrierOnTakeover);
     for entry in state.endpoints.values_mut() {
-        entry.restart();
-        entry.settled = is_trusting;
+        entry.reset();
+        entry.confirmed = skips_barrier;
     }
     if !state.settings.mutated(PlanMutation::ForgetInheritedOrders) {
         for intent in inherited {
-            inherit(state, intent, quiet_at);
+            inherit(state, intent, effect_end);
         }
     }
     state.staged.clear();
@@ -235,7 +239,7 @@
     state.next_load_at = now + writing::load_interval(state);
 }
 
-fn inherit(state: &mut PlanState, intent: OrderIntent, quiet_at: LocalTime) {
+fn inherit(state: &mut PlanState, intent: OrderIntent, effect_end: LocalTime) {
     let entry = state
         .endpoints
         .entry(intent.endpoint)
@@ -246,7 +250,7 @@
         PossibleOrder {
             action: intent.action,
             reason: intent.reason,
-            window_end: quiet_at,
+            window_end: effect_end,
             barrier: None,
         },
     );
@@ -260,17 +264,17 @@
     now: LocalTime,
 ) {
     let mut lease = PlanLease::watch(None);
-    lease.note(version, value, now);
+    lease.record(version, value, now);
     state.phase = LeasePhase::Follower(lease);
-    forget_term(state);
+    clear_term(state);
 }
 
 /// Drops what only a holder may act on.
-pub(super) fn forget_term(state: &mut PlanState) {
+pub(super) fn clear_term(state: &mut PlanState) {
     state.staged.clear();
     state.goals.clear();
     state.unplaced.clear();
     for entry in state.endpoints.values_mut() {
-        entry.restart();
+        entry.reset();
     }
 }
--- a/crates/clementinepond_decide/src/plan/reduce.rs
+++ b/crates/clementinepond_decide/src/plan/reduce.rs
@@ -2,23 +2,23 @@
 
 use super::{
     DemandForecast, EndpointEntry, EndpointReport, EndpointSpec, OrderNumber, OrderReply,
-    PlacementCatalogue, PlanEffect, PlanEvent, PlanMutation, PlanState, intake, upkeep,
+    PlacementCatalogue, PlanEffect, PlanEvent, PlanMutation, PlanState, periodic, platform_reply,
 };
 use clementinepond_types::{EndpointId, LocalTime};
 
 /// Takes in one event.
 pub fn reduce(state: &mut PlanState, event: PlanEvent, now: LocalTime) -> Vec<PlanEffect> {
     match event {
-        PlanEvent::Tick { seed } => return upkeep::tick(state, seed, now),
-        PlanEvent::ReadReplied { reply } => return intake::read_replied(state, reply, now),
+        PlanEvent::Tick { seed } => return periodic::tick(state, seed, now),
+        PlanEvent::ReadReplied { reply } => return platform_reply::read_replied(state, reply, now),
         PlanEvent::StoreReplied { write, reply } => {
-            return intake::store_replied(state, write, reply, now);
+            return platform_reply::store_replied(state, write, reply, now);
         }
-        PlanEvent::Release => return upkeep::release(state, now),
-        PlanEvent::ReportReceived { report } => take_report(state, report, now),
-        PlanEvent::EndpointListed { endpoint, spec } => list_endpoint(state, endpoint, spec),
-        PlanEvent::EndpointGone { endpoint } => drop_endpoint(state, &endpoint),
-        PlanEvent::CatalogueChanged { catalogue } => take_catalogue(state, *catalogue),
+        PlanEvent::Release => return periodic::release(state, now),
+        PlanEvent::ReportReceived { report } => apply_report(state, report, now),
+        PlanEvent::EndpointListed { endpoint, spec } => add_endpoint(state, endpoint, spec),
+        PlanEvent::EndpointGone { endpoint } => remove_endpoint(state, &endpoint),
+        PlanEvent::CatalogueChanged { catalogue } => apply_catalogue(state, *catalogue),
         PlanEvent::DemandObserved { model, load } => {
             let tuning = &state.settings.tuning;
             state
@@ -33,12 +33,12 @@
             endpoint,
             number,
             reply,
-        } => take_order_reply(state, &endpoint, number, reply),
+        } => handle_order_reply(state, &endpoint, number, reply),
     }
     Vec::new()
 }
 
-fn take_report(state: &mut PlanState, report: EndpointReport, now: LocalTime) {
+fn apply_report(state: &mut PlanState, report: EndpointReport, now: LocalTime) {
     let Some(entry) = state.endpoints.get_mut(&report.endpoint) else {
         return;
     };
@@ -50,11 +50,11 @@
     if state.settings.mutated(PlanMutation::ForgetCopies)
         && let Some(report) = &entry.report
     {
-        entry.ledger.forget_done(report);
+        entry.ledger.forget_completed(report);
     }
 }
 
-fn list_endpoint(state: &mut PlanState, endpoint: EndpointId, spec: EndpointSpec) {
+fn add_endpoint(state: &mut PlanState, endpoint: EndpointId, spec: EndpointSpec) {
     state
         .endpoints
         .entry(endpoint)
@@ -64,16 +64,16 @@
 
 /// Keeps the ledger of an endpoint that has gone, since it may come back
 /// while orders to it still travel.
-fn drop_endpoint(state: &mut PlanState, endpoint: &EndpointId) {
+fn remove_endpoint(state: &mut PlanState, endpoint: &EndpointId) {
     if let Some(entry) = state.endpoints.get_mut(endpoint) {
         entry.spec = None;
         entry.report = None;
         entry.draining.clear();
-        entry.unsettle();
+        entry.require_barrier();
     }
 }
 
-fn take_catalogue(state: &mut PlanState, catalogue: PlacementCatalogue) {
+fn apply_catalogue(state: &mut PlanState, catalogue: PlacementCatalogue) {
     for (adapter, spec) in &catalogue.adapters {
         // The larger size counts until no copy of the smaller one is left.
         let memory = state.adapter_memory.entry(adapter.clone()).or_default();
@@ -86,7 +86,7 @@
 }
 
 /// An answer proves nothing about copies of the order that still travel.
-fn take_order_reply(
+fn handle_order_reply(
     state: &mut PlanState,
     endpoint: &EndpointId,
     number: OrderNumber,
--- a/crates/clementinepond_decide/src/plan/state.rs
+++ b/crates/clementinepond_decide/src/plan/state.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Moves that the status keeps.
-const RECENT_MOVES: usize = 64;
+const MAX_RECENT_MOVES: usize = 64;
 
 /// Order that waits for its intent to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -130,8 +130,8 @@
         Some(entry.ledger.possible(report, &self.adapter_memory))
     }
 
-    pub(super) fn remember(&mut self, order: &StagedOrder, now: LocalTime) {
-        if self.recent.len() == RECENT_MOVES {
+    pub(super) fn record_move(&mut self, order: &StagedOrder, now: LocalTime) {
+        if self.recent.len() == MAX_RECENT_MOVES {
             self.recent.pop_front();
         }
         self.recent.push_back(RecentMove {
--- a/crates/clementinepond_decide/src/plan/status.rs
+++ b/crates/clementinepond_decide/src/plan/status.rs
@@ -76,7 +76,7 @@
         unsettled: state
             .endpoints
             .iter()
-            .filter(|(_, entry)| holds && !entry.settled)
+            .filter(|(_, entry)| holds && !entry.confirmed)
             .map(|(id, _)| id.clone())
             .collect(),
         goals: state.goals.clone(),
--- a/crates/clementinepond_decide/src/plan/writing.rs
+++ b/crates/clementinepond_decide/src/plan/writing.rs
@@ -9,10 +9,10 @@
 use clementinepond_types::{EndpointId, FencingNumber, LocalTime, TimeSpan};
 
 /// Part of the lease after which it is renewed.
-const RENEWAL_PART: u64 = 3;
+const RENEWALS_PER_LEASE: u64 = 3;
 
 /// Goals that the object keeps for the next holder's operators.
-const WRITTEN_GOALS: usize = 16;
+const MAX_STORED_GOALS: usize = 16;
 
 /// Returns the time between two model loads of this data centre.
 pub(super) fn load_interval(state: &PlanState) -> TimeSpan {
@@ -38,7 +38,7 @@
     let Some(entry) = state.endpoints.get_mut(endpoint) else {
         return;
     };
-    let number = entry.take_number(&mut state.next_number);
+    let number = entry.assign_number(&mut state.next_number);
     entry.ledger.reserve(
         number,
         PossibleOrder {
@@ -69,7 +69,7 @@
     let Some(term) = state.phase.term() else {
         return;
     };
-    let renewal = state.settings.lease.fraction(1, RENEWAL_PART);
+    let renewal = state.settings.lease.fraction(1, RENEWALS_PER_LEASE);
     let is_renewal_due = now >= term.written_at + renewal;
     let has_orders = !state.staged.is_empty() && now >= state.next_write_at;
     if is_renewal_due || has_orders || state.releasing {
@@ -95,7 +95,7 @@
         arrival_margin: term.arrival_margin,
         order_span: term.order_span,
         orders,
-        goals: state.goals.iter().take(WRITTEN_GOALS).cloned().collect(),
+        goals: state.goals.iter().take(MAX_STORED_GOALS).cloned().collect(),
     };
     let if_version = term.version;
     term.write = Some(PendingWrite {
@@ -151,7 +151,7 @@
 fn issue(state: &mut PlanState, order: StagedOrder, now: LocalTime) -> Option<PlanEffect> {
     let (fencing, deadline) = authority(state, now)?;
     let window_end = window_end(state, now);
-    state.remember(&order, now);
+    state.record_move(&order, now);
     let entry = state.endpoints.get_mut(&order.endpoint)?;
     entry.ledger.issue(order.number, window_end, now);
     Some(PlanEffect::Order {
@@ -196,13 +196,13 @@
         let Some(spec) = entry.spec else {
             continue;
         };
-        if entry.settled && !entry.ledger.awaits_proof(now) {
+        if entry.confirmed && !entry.ledger.has_unresolved(now) {
             continue;
         }
-        let number = entry.take_number(&mut state.next_number);
-        entry.ledger.note_barrier(number, now);
+        let number = entry.assign_number(&mut state.next_number);
+        entry.ledger.record_barrier(number, now);
         entry.barrier_window_end = window_end;
-        if !entry.settled && entry.barrier.is_none() {
+        if !entry.confirmed && entry.barrier.is_none() {
             entry.barrier = Some(number);
         }
         effects.push(PlanEffect::Order {
--- a/crates/clementinepond_decide/tests/plan_planner.rs
+++ b/crates/clementinepond_decide/tests/plan_planner.rs
@@ -76,9 +76,9 @@
             priority: PriorityClass::new(0),
             replica_limit: 1_000.0,
             min_copies: 1,
-            keeper_rank: 0,
+            rendezvous_rank: 0,
             load,
-            held: load,
+            recent_peak: load,
         };
         self.problem.models.insert(name(id), need);
         self
@@ -104,7 +104,7 @@
     }
 
     /// Carries out the moves of a plan at once: unloads leave, loads serve.
-    fn carry_out(&mut self) -> Vec<String> {
+    fn apply_plan(&mut self) -> Vec<String> {
         let outcome = self.plan();
         let lines = describe(&outcome.moves);
         for planned in outcome.moves {
@@ -161,9 +161,9 @@
         .endpoint("r2", 100, &[])
         .model("a", 60, 100.0)
         .model("b", 60, 100.0);
-    fleet.carry_out();
+    fleet.apply_plan();
     assert_eq!((fleet.copies("a"), fleet.copies("b")), (1, 1));
-    assert_eq!(fleet.carry_out(), Vec::<String>::new());
+    assert_eq!(fleet.apply_plan(), Vec::<String>::new());
 }
 
 #[test]
@@ -221,9 +221,9 @@
         .endpoint("r2", 50, &[])
         .model("large", 90, 0.0)
         .model("small", 40, 0.0);
-    assert_eq!(fleet.carry_out(), ["+small@r2"]);
-    assert_eq!(fleet.carry_out(), ["-small@r1"]);
-    assert_eq!(fleet.carry_out(), ["+large@r1"]);
+    assert_eq!(fleet.apply_plan(), ["+small@r2"]);
+    assert_eq!(fleet.apply_plan(), ["-small@r1"]);
+    assert_eq!(fleet.apply_plan(), ["+large@r1"]);
     assert_eq!((fleet.copies("small"), fleet.copies("large")), (1, 1));
 }
 
@@ -256,7 +256,7 @@
         .model("a", 60, 1_500.0)
         .version("a", "v2");
     for _ in 0..8 {
-        fleet.carry_out();
+        fleet.apply_plan();
         assert!(fleet.copies("a") >= 1);
     }
     let versions: Vec<String> = fleet
@@ -285,11 +285,11 @@
             .model("b", 60, 0.0)
     };
     let mut pinned = fleet().except("a", pin);
-    assert_eq!(pinned.carry_out(), ["-b@r2"]);
-    assert_eq!(pinned.carry_out(), ["+a@r2"]);
+    assert_eq!(pinned.apply_plan(), ["-b@r2"]);
+    assert_eq!(pinned.apply_plan(), ["+a@r2"]);
     let mut forbidden = fleet().except("b", forbid);
-    assert_eq!(forbidden.carry_out(), ["-b@r2"]);
-    assert_eq!(forbidden.carry_out(), Vec::<String>::new());
+    assert_eq!(forbidden.apply_plan(), ["-b@r2"]);
+    assert_eq!(forbidden.apply_plan(), Vec::<String>::new());
 }
 
 #[test]
@@ -299,7 +299,7 @@
         .endpoint("r2", 100, &[])
         .model("a", 60, 0.0)
         .except("a", ExceptionRule::MinReplicas { count: 2 });
-    fleet.carry_out();
+    fleet.apply_plan();
     assert_eq!(fleet.copies("a"), 2);
 }
 
@@ -316,7 +316,7 @@
             memory: MemorySize::new(10),
         },
     );
-    assert_eq!(fleet.carry_out(), ["+a@r2"]);
+    assert_eq!(fleet.apply_plan(), ["+a@r2"]);
     assert_eq!(describe(&fleet.plan().moves), ["+tone@r2"]);
 }
 
@@ -328,7 +328,7 @@
         .model("b", 60, 0.0);
     let model: ModelId = name("b");
     fleet.problem.models.get_mut(&model).unwrap().priority = PriorityClass::new(9);
-    fleet.carry_out();
+    fleet.apply_plan();
     assert_eq!((fleet.copies("a"), fleet.copies("b")), (0, 1));
 }
 
--- a/crates/clementinepond_decide/tests/plan_reducer/bench.rs
+++ b/crates/clementinepond_decide/tests/plan_reducer/harness.rs
@@ -27,7 +27,7 @@
 }
 
 /// One VM, one endpoint of 100 MiB and models of 60 MiB.
-pub(crate) struct PlanBench {
+pub(crate) struct PlanHarness {
     pub(crate) state: PlanState,
     pub(crate) version: u64,
     pub(crate) report_number: u64,
@@ -36,14 +36,14 @@
     pub(crate) written: Option<PlanObject>,
 }
 
-impl PlanBench {
+impl PlanHarness {
     pub(crate) fn new(mutations: &[PlanMutation], models: &[&str]) -> Self {
         let settings = PlanSettings {
             mutations: mutations.iter().copied().collect(),
             ..PlanSettings::default()
         };
         let state = PlanState::new(settings, name("vm-1"), name("dc-1"));
-        let mut bench = Self {
+        let mut harness = Self {
             state,
             version: 0,
             report_number: 0,
@@ -51,8 +51,8 @@
             now: 0,
             written: None,
         };
-        bench.catalogue(models);
-        bench.send(PlanEvent::EndpointListed {
+        harness.catalogue(models);
+        harness.send(PlanEvent::EndpointListed {
             endpoint: name("runner-1"),
             spec: EndpointSpec {
                 accelerators: 1,
@@ -60,7 +60,7 @@
                 role: EndpointRole::Both,
             },
         });
-        bench
+        harness
     }
 
     pub(crate) fn catalogue(&mut self, models: &[&str]) {
--- a/crates/clementinepond_measure/src/experiment/placement/fake/world.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/world.rs
@@ -186,7 +186,7 @@
         self.holder(centre).is_some_and(|vm| {
             let state = &self.vms[vm].state;
             let is_idle = |entry: &EndpointEntry| {
-                entry.settled && entry.ledger.is_empty() && entry.draining.is_empty()
+                entry.confirmed && entry.ledger.is_empty() && entry.draining.is_empty()
             };
             matches!(state.phase(), LeasePhase::Holding(_))
                 && state.goals().is_empty()
--- a/crates/clementinepond_measure/src/experiment/placement/planning_time.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/planning_time.rs
@@ -115,9 +115,9 @@
                 priority: PriorityClass::new(0),
                 replica_limit: f64::from(u32::try_from(workload.size.replica_limit).unwrap_or(0)),
                 min_copies: 1,
-                keeper_rank: 0,
+                rendezvous_rank: 0,
                 load: model.at(second),
-                held: model.at(second),
+                recent_peak: model.at(second),
             };
             (model.id.clone(), need)
         })
--- a/crates/clementinepond_measure/src/experiment/placement/policy.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/policy.rs
@@ -37,7 +37,7 @@
                 trend_time: TimeSpan::from_secs(3_600),
                 hold_time: TimeSpan::from_millis(1),
                 look_ahead: TimeSpan::ZERO,
-                regret_percent: 0,
+                removal_penalty_percent: 0,
                 ..settings.tuning
             };
         }
