--- a/crates/clementinepond_decide/src/plan/catalogue.rs
+++ b/crates/clementinepond_decide/src/plan/catalogue.rs
@@ -1,4 +1,4 @@
-//! What operators want placed.
+//! Catalogue of the models and adapters to place.
 
 use super::{ComputeLoad, ModelVersion};
 use clementinepond_types::{
@@ -7,31 +7,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One hosted model.
+/// Hosted model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelSpec {
-    /// Version that shall serve.
+    /// Version to serve.
     pub version: ModelVersion,
     /// Memory of one copy.
     pub memory_mib: MemorySize,
-    /// Priority when room is short.
+    /// Priority when memory is short; the larger value is placed first.
     pub priority: PriorityClass,
-    /// Load that one copy can carry.
+    /// Largest load that one copy can carry.
     pub replica_limit: ComputeLoad,
-    /// Whether each data centre keeps a copy.
+    /// Whether every data centre keeps a copy.
     pub resident: bool,
 }
 
-/// One hosted adapter.
+/// Hosted adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterSpec {
-    /// Model that it extends.
+    /// Model that the adapter extends.
     pub model: ModelId,
     /// Memory of one copy.
     pub memory_mib: MemorySize,
 }
 
-/// Rule of one exception.
+/// Rule of an exception.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExceptionRule {
@@ -42,12 +42,12 @@
     },
     /// Keeps the model off the endpoint.
     Forbid {
-        /// Endpoint without the model.
+        /// Endpoint that must not hold the model.
         endpoint: EndpointId,
     },
     /// Keeps at least this many copies in each data centre.
     MinReplicas {
-        /// Number of copies.
+        /// Smallest number of copies.
         count: u32,
     },
 }
@@ -55,22 +55,22 @@
 /// Departure from the defaults for one model, with its reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementException {
-    /// Model concerned.
+    /// Model that the rule applies to.
     pub model: ModelId,
-    /// Rule that applies.
+    /// Departure from the defaults.
     pub rule: ExceptionRule,
-    /// Why operators want it.
+    /// Reason given by operators.
     pub reason: Box<str>,
 }
 
-/// One data centre's share of the weight store.
+/// One data centre's share of the weight store's capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreShare {
-    /// Model loads started an hour.
+    /// Most model loads started per hour.
     pub loads_an_hour: u32,
-    /// Model loads under way at once.
+    /// Most model loads under way at once.
     pub loads_at_once: u32,
-    /// Adapter loads under way at once.
+    /// Most adapter loads under way at once.
     pub adapters_at_once: u32,
 }
 
@@ -84,14 +84,14 @@
     }
 }
 
-/// Everything that operators want placed.
+/// Everything that operators want to be placed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementCatalogue {
     /// Hosted models.
     pub models: BTreeMap<ModelId, ModelSpec>,
     /// Hosted adapters.
     pub adapters: BTreeMap<AdapterId, AdapterSpec>,
-    /// Exceptions with their reasons.
+    /// Departures from the defaults.
     pub exceptions: Vec<PlacementException>,
     /// This data centre's share of the weight store.
     pub share: StoreShare,
@@ -100,8 +100,8 @@
 }
 
 impl PlacementCatalogue {
-    /// Returns whether one data centre comes before another in keeping a
-    /// model.
+    /// Returns whether the first data centre comes before the second in the model's
+    /// rendezvous order, by which data centres keep a copy.
     #[must_use]
     pub fn precedes(&self, model: &ModelId, first: &DataCentreId, second: &DataCentreId) -> bool {
         let rank = |data_centre: &DataCentreId| {
@@ -111,7 +111,8 @@
         rank(first) > rank(second)
     }
 
-    /// Returns how many data centres come before one in keeping a model.
+    /// Returns the number of data centres that come before the given one in the
+    /// model's rendezvous order.
     #[must_use]
     pub fn rendezvous_rank(&self, model: &ModelId, data_centre: &DataCentreId) -> usize {
         self.data_centres
@@ -121,7 +122,8 @@
     }
 }
 
-/// Returns the rendezvous weight of a pair of names.
+/// Returns the rendezvous weight of a candidate for an item; the largest weight
+/// comes first.
 pub(super) fn rendezvous_weight(item: &str, candidate: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(item.as_bytes());
--- a/crates/clementinepond_decide/src/plan/compute_load.rs
+++ b/crates/clementinepond_decide/src/plan/compute_load.rs
@@ -1,9 +1,9 @@
-//! Load on accelerators.
+//! Unit of load on accelerators.
 
 use derive_more::{Add, AddAssign, Display, FromStr, Sum};
 use serde::{Deserialize, Serialize};
 
-/// Load, in thousandths of one accelerator's full use.
+/// Load, in thousandths of one fully used accelerator.
 #[derive(
     Debug,
     Display,
@@ -29,19 +29,19 @@
     /// No load.
     pub const ZERO: Self = Self(0);
 
-    /// Wraps thousandths of an accelerator.
+    /// Creates a load from thousandths of an accelerator.
     #[must_use]
     pub const fn from_milli(milli: u64) -> Self {
         Self(milli)
     }
 
-    /// Counts whole accelerators.
+    /// Creates a load from whole accelerators.
     #[must_use]
     pub const fn accelerators(count: u64) -> Self {
         Self(count.saturating_mul(1_000))
     }
 
-    /// Returns thousandths of an accelerator.
+    /// Returns the load in thousandths of an accelerator.
     #[must_use]
     pub const fn milli(self) -> u64 {
         self.0
--- a/crates/clementinepond_decide/src/plan/demand.rs
+++ b/crates/clementinepond_decide/src/plan/demand.rs
@@ -1,14 +1,14 @@
 //! Forecast of one model's demand.
 //!
-//! Level and trend are smoothed; the forecast looks ahead by more than the
-//! time that a load takes to help. What copies carried lately is recent_peak, and
-//! decays more slowly.
+//! Level and trend are smoothed exponentially. The forecast looks ahead by more
+//! time than a load takes until the copy serves. The recent peak follows the level
+//! up at once and decays towards it more slowly.
 
 use super::ComputeLoad;
 use super::planner::PlannerTuning;
 use clementinepond_types::LocalTime;
 
-/// Forecast of one model's demand.
+/// Forecast of one model's demand, in thousandths of an accelerator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandForecast {
     level: f64,
@@ -18,7 +18,7 @@
 }
 
 impl DemandForecast {
-    /// Starts from a first observation.
+    /// Creates a forecast from the first observation, without a trend.
     #[must_use]
     pub fn new(load: ComputeLoad, now: LocalTime) -> Self {
         let level = to_float(load);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes in an observation.
+    /// Updates the forecast with an observation; ignored unless time has passed.
     pub fn observe(&mut self, load: ComputeLoad, now: LocalTime, tuning: &PlannerTuning) {
         let elapsed = seconds(now.since(self.observed_at).micros());
         if elapsed <= 0.0 {
@@ -50,14 +50,15 @@
         self.observed_at = now;
     }
 
-    /// Returns the load to prepare for.
+    /// Returns the forecast load, in thousandths of an accelerator.
     #[must_use]
     pub fn expected(&self, tuning: &PlannerTuning) -> f64 {
         let ahead = self.level + self.trend_per_second * seconds(tuning.look_ahead.micros());
         ahead.max(0.0)
     }
 
-    /// Returns the load below which copies count as unused.
+    /// Returns the decaying recent peak of the smoothed load, in thousandths of an
+    /// accelerator.
     #[must_use]
     pub fn recent_peak(&self) -> f64 {
         self.recent_peak
@@ -74,6 +75,7 @@
     micros as f64 / 1e6
 }
 
+/// Returns the weight of an observation in an exponential average.
 fn smoothing(elapsed: f64, time: f64) -> f64 {
     1.0 - (-elapsed / time.max(0.001)).exp()
 }
--- a/crates/clementinepond_decide/src/plan/draining.rs
+++ b/crates/clementinepond_decide/src/plan/draining.rs
@@ -1,14 +1,14 @@
-//! From the withdrawal of a copy to its unload.
+//! Draining of copies before their unload.
 //!
-//! A copy is first withdrawn from routing and unloaded only after the drain
-//! time. Just before the unload the last-copy rule is checked again; a copy
-//! that has become the last one is given back to routing.
+//! A copy is first withdrawn from routing and unloaded only after the drain time.
+//! Until the unload is ordered, each tick checks the last-copy rule again; a copy
+//! that has become the last one is returned to routing.
 
 use super::planning::{has_other_ready_copy, required_copies};
 use super::{EndpointAction, HoldingKey, PlanMutation, PlanState, writing};
 use clementinepond_types::{EndpointId, LocalTime};
 
-/// Withdraws a copy from routing.
+/// Withdraws a copy from routing and schedules its unload.
 pub(super) fn begin(state: &mut PlanState, endpoint: &EndpointId, key: HoldingKey, now: LocalTime) {
     let drain = state.settings.drain;
     if let Some(entry) = state.endpoints.get_mut(endpoint) {
@@ -16,7 +16,7 @@
     }
 }
 
-/// Orders the unloads that are due.
+/// Stages the unloads that are due and returns copies that must stay to routing.
 pub(super) fn finish(state: &mut PlanState, now: LocalTime) {
     let drained: Vec<(EndpointId, HoldingKey, LocalTime)> = state
         .endpoints
--- a/crates/clementinepond_decide/src/plan/effect.rs
+++ b/crates/clementinepond_decide/src/plan/effect.rs
@@ -1,17 +1,17 @@
-//! What placement asks its edge to do.
+//! Effects that placement requests from the I/O layer.
 
 use super::{EndpointAction, OrderNumber, PlanObject, PlanStatus};
 use clementinepond_types::{DataCentreId, EndpointId, FencingNumber, LocalTime, ObjectVersion};
 
-/// What placement asks its edge to do.
+/// Effect that the I/O layer must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlanEffect {
-    /// Reads the plan object; the answer comes back as `ReadReplied`.
+    /// Reads the plan object; the reply returns as `ReadReplied`.
     Read {
         /// Name of the object.
         data_centre: DataCentreId,
     },
-    /// Updates the plan object; the answer comes back as `StoreReplied`.
+    /// Updates the plan object; the reply returns as `StoreReplied`.
     Store {
         /// Name of the object.
         data_centre: DataCentreId,
@@ -22,20 +22,21 @@
     },
     /// Sends an order, unless the deadline has passed.
     Order {
-        /// Endpoint that receives it.
+        /// Endpoint that receives the order.
         endpoint: EndpointId,
         /// Number of the order.
         number: OrderNumber,
         /// Fencing number of the order.
         fencing_number: FencingNumber,
-        /// What it asks for.
+        /// Load, unload or role change to carry out.
         action: EndpointAction,
-        /// Moment after which it must not leave; the time left goes with it.
+        /// Time after which the order must not be sent; the time left until then is
+        /// sent with it.
         deadline: LocalTime,
     },
     /// Publishes the plan to operators and to routing.
     Publish {
-        /// The plan as it is now.
+        /// Current plan.
         status: Box<PlanStatus>,
     },
 }
--- a/crates/clementinepond_decide/src/plan/endpoint_entry.rs
+++ b/crates/clementinepond_decide/src/plan/endpoint_entry.rs
@@ -1,36 +1,38 @@
-//! What is known of one endpoint.
+//! Known state of one endpoint.
 
 use super::{EndpointLedger, EndpointReport, EndpointSpec, HoldingKey, Incarnation, OrderNumber};
 use clementinepond_types::LocalTime;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Knowledge of one endpoint.
+/// Known state of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointEntry {
-    /// What the settings say; none once the endpoint has gone.
+    /// Configured properties; none once the endpoint has gone.
     pub spec: Option<EndpointSpec>,
     /// Newest report.
     pub report: Option<EndpointReport>,
-    /// Moment of the newest report's arrival.
+    /// Arrival time of the newest report.
     pub reported_at: LocalTime,
     /// Orders that may still take effect.
     pub ledger: EndpointLedger,
-    /// Copies withdrawn from routing, with the moment of their unload.
+    /// Copies withdrawn from routing, with the time from which they may be unloaded.
     pub draining: BTreeMap<HoldingKey, LocalTime>,
-    /// Last order number given to the endpoint.
+    /// Largest order number used for the endpoint.
     pub last_number: OrderNumber,
-    /// Order that a report must name before loads are ordered.
+    /// Order that a report must name, or a later one, to confirm the endpoint's
+    /// state; none if no barrier is outstanding.
     pub barrier: Option<OrderNumber>,
-    /// Moment after which the last barrier counts as lost.
+    /// Time from which another barrier may be sent, since the last one can no longer
+    /// take effect.
     pub barrier_window_end: LocalTime,
-    /// Whether a report has proved the endpoint's state to this holder.
+    /// Whether a report has confirmed the endpoint's state to this holder.
     pub confirmed: bool,
     retired_incarnations: BTreeSet<Incarnation>,
     largest_order: OrderNumber,
 }
 
 impl EndpointEntry {
-    /// Starts without knowledge.
+    /// Creates the entry of a listed endpoint without a report.
     #[must_use]
     pub fn new(spec: EndpointSpec) -> Self {
         Self {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Starts for an endpoint that is known only from written orders.
+    /// Creates the entry of an endpoint known only from stored orders.
     #[must_use]
     pub fn unlisted() -> Self {
         Self {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Takes in a report; returns whether it was news.
+    /// Accepts a report unless it is old; returns whether it was accepted.
     pub fn accept(&mut self, report: EndpointReport, now: LocalTime) -> bool {
         let Some(current) = &self.report else {
             self.install(report, now);
@@ -70,8 +72,8 @@
             self.install(report, now);
             return true;
         }
-        // A retired incarnation is heard again only if it names an order that
-        // nobody had named before, which no earlier report can do.
+        // A report of a retired incarnation is accepted only if it names a newer order
+        // than all reports before, which an old report cannot do.
         let retired_incarnations = self.retired_incarnations.contains(&report.incarnation);
         if retired_incarnations && report.last_order <= self.largest_order {
             return false;
@@ -83,7 +85,7 @@
         true
     }
 
-    /// Takes in a report without asking whether it is old.
+    /// Stores a report without checking whether it is old.
     pub fn install(&mut self, report: EndpointReport, now: LocalTime) {
         self.largest_order = self.largest_order.max(report.last_order);
         self.last_number = self.last_number.max(report.last_order);
@@ -100,21 +102,23 @@
         self.reported_at = now;
     }
 
-    /// Doubts everything, for a new term or after the end of one.
+    /// Clears orders and draining copies and requires a new barrier, at the start or
+    /// end of a term.
     pub fn reset(&mut self) {
         self.require_barrier();
         self.ledger = EndpointLedger::default();
         self.draining.clear();
     }
 
-    /// Requires a new barrier before the next load.
+    /// Requires a new barrier before the next load or unload.
     pub fn require_barrier(&mut self) {
         self.confirmed = false;
         self.barrier = None;
         self.barrier_window_end = LocalTime::ORIGIN;
     }
 
-    /// Takes an order number that this endpoint has never had.
+    /// Assigns an order number larger than any used for this endpoint, and advances
+    /// `next` past it.
     pub fn assign_number(&mut self, next: &mut OrderNumber) -> OrderNumber {
         let number = self.last_number.next().max(*next);
         *next = number.next();
--- a/crates/clementinepond_decide/src/plan/event.rs
+++ b/crates/clementinepond_decide/src/plan/event.rs
@@ -1,4 +1,4 @@
-//! What can happen to placement.
+//! Events that placement handles.
 
 use super::{
     ComputeLoad, EndpointReport, EndpointRole, OrderNumber, PlacementCatalogue, PlanObject, WriteId,
@@ -7,98 +7,98 @@
 use clementinepond_types::{DataCentreId, EndpointId, ModelId, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the settings say of an endpoint.
+/// Configured properties of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointSpec {
     /// Number of accelerators.
     pub accelerators: u32,
-    /// Whether the engine refuses orders with an old fencing number.
+    /// Whether the engine refuses orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// Role of the endpoint.
+    /// Phases of a request that the endpoint serves.
     pub role: EndpointRole,
 }
 
-/// Answer of an endpoint to an order.
+/// Reply of an endpoint to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
-    /// The endpoint took the order.
+    /// The endpoint accepted the order.
     Accepted,
-    /// The endpoint refused a fencing number.
+    /// The endpoint refused the order's fencing number.
     Refused,
-    /// The endpoint has no memory for it.
+    /// The endpoint has not enough memory for the load.
     NoMemory,
-    /// No answer came.
+    /// The order was not answered, so its outcome is unknown.
     Unknown,
 }
 
-/// What can happen to placement.
+/// Event that placement handles.
 #[derive(Debug, Clone)]
 pub enum PlanEvent {
-    /// Time passed.
+    /// Time has passed.
     Tick {
         /// Random number, used as the nonce of an acquisition.
         seed: u64,
     },
-    /// An endpoint's report arrived.
+    /// A report of an endpoint has arrived.
     ReportReceived {
-        /// The report.
+        /// Report of the endpoint, possibly an old one.
         report: EndpointReport,
     },
     /// The configuration or the platform's list names an endpoint.
     EndpointListed {
-        /// Endpoint.
+        /// Endpoint listed.
         endpoint: EndpointId,
-        /// What is said of it.
+        /// Configured properties.
         spec: EndpointSpec,
     },
     /// An endpoint has left.
     EndpointGone {
-        /// Endpoint.
+        /// Endpoint that has left.
         endpoint: EndpointId,
     },
     /// A newer configuration is in force.
     CatalogueChanged {
-        /// What operators want placed.
+        /// Models, adapters and exceptions of the configuration.
         catalogue: Box<PlacementCatalogue>,
     },
     /// The offered load of a model in this data centre was measured.
     DemandObserved {
-        /// Model.
+        /// Model requested.
         model: ModelId,
-        /// Load offered, served or not.
+        /// Offered load, whether served or not.
         load: ComputeLoad,
     },
-    /// Models that are ready in the data centres that can be reached.
+    /// The ready models of the reachable data centres were observed.
     PeersObserved {
-        /// Ready models of each reachable data centre but this one.
+        /// Ready models of each reachable data centre except this one.
         ready: BTreeMap<DataCentreId, BTreeSet<ModelId>>,
     },
-    /// The VMs of this data centre changed.
+    /// The roster of this data centre has changed.
     RosterChanged {
-        /// Members.
+        /// VMs of this data centre.
         members: BTreeSet<VmId>,
     },
     /// A read of the plan object was answered, or a watch reported it.
     ReadReplied {
-        /// The answer.
+        /// Object found, or why there is none.
         reply: ReadReply<PlanObject>,
     },
     /// A conditional update of the plan object was answered.
     StoreReplied {
-        /// Write that it answers, from [`PlanObject::write_id`].
+        /// Write that was answered, from [`PlanObject::write_id`].
         write: WriteId,
-        /// The answer.
+        /// Result of the conditional update.
         reply: StoreReply<PlanObject>,
     },
     /// An order was answered.
     OrderReplied {
-        /// Endpoint.
+        /// Endpoint that received the order.
         endpoint: EndpointId,
         /// Number of the order.
         number: OrderNumber,
-        /// The answer.
+        /// Reply of the endpoint.
         reply: OrderReply,
     },
-    /// This VM shuts down and gives up the lease.
+    /// This VM is shutting down and releases the lease.
     Release,
 }
--- a/crates/clementinepond_decide/src/plan/lease.rs
+++ b/crates/clementinepond_decide/src/plan/lease.rs
@@ -1,8 +1,8 @@
 //! Life cycle of the plan lease.
 //!
-//! An observer judges the lease's end on its own clock from the moment at
-//! which it first saw the object's version. The holder counts the lease from
-//! its own send of the write. The holder's end therefore comes first.
+//! An observer counts the lease on its own clock, from the time at which it first
+//! saw the object's version. The holder counts the lease from the time at which it
+//! sent the write. The lease therefore ends for the holder first.
 
 use super::{PlanObject, PlanSettings};
 use clementinepond_types::{FencingNumber, LocalTime, ObjectVersion, TimeSpan};
@@ -14,12 +14,12 @@
     pub version: ObjectVersion,
     /// Content; none while there is no object.
     pub value: Option<PlanObject>,
-    /// Moment at which this version was first seen.
+    /// Time at which this version was first seen.
     pub first_seen: LocalTime,
 }
 
 impl SeenObject {
-    /// Returns the moment at which the holder's authority has certainly ended.
+    /// Returns the time from which the holder can no longer issue orders.
     #[must_use]
     pub fn authority_end(&self, settings: &PlanSettings) -> LocalTime {
         match &self.value {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the moment after which no order of the holder can take effect.
+    /// Returns the time after which no order of the holder can take effect.
     #[must_use]
     pub fn effect_end(&self, settings: &PlanSettings) -> LocalTime {
         match &self.value {
@@ -38,91 +38,91 @@
     }
 }
 
-/// Write of the plan object whose outcome is not known.
+/// Write of the plan object whose outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingWrite {
-    /// Content written.
+    /// Object written.
     pub object: PlanObject,
-    /// Version that the object must have.
+    /// Version that the object must have; zero creates it.
     pub if_version: ObjectVersion,
-    /// Moment of the first send.
+    /// Time of the first send.
     pub sent_at: LocalTime,
-    /// Whether the answer was lost, so that the object must be read.
+    /// Whether the reply was lost, so that the object must be read again.
     pub answer_lost: bool,
 }
 
 /// State of a VM that watches the lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Follower {
-    /// Object as last seen.
+    /// Object as last seen; none before the first read.
     pub seen: Option<SeenObject>,
 }
 
-/// State of a VM that has sent its first write.
+/// State of a VM that has sent the write that acquires the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Acquiring {
-    /// The write.
+    /// Write that acquires the lease.
     pub write: PendingWrite,
-    /// Moment after which no earlier order can take effect.
+    /// Time after which no order of earlier holders can take effect.
     pub effect_end: LocalTime,
 }
 
-/// State of a holder while orders of earlier holders may still arrive.
+/// State of a holder while orders of earlier holders may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Waiting {
-    /// The lease.
+    /// Term of this holder.
     pub term: LeaseTerm,
-    /// Moment after which no earlier order can take effect.
+    /// Time after which no order of earlier holders can take effect.
     pub effect_end: LocalTime,
 }
 
-/// State of a holder after the last order of earlier holders.
+/// State of a holder once no order of earlier holders can take effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Holding {
-    /// The lease.
+    /// Term of this holder.
     pub term: LeaseTerm,
 }
 
-/// The holder's view of its lease.
+/// Holder's view of its lease, from acquisition to expiry or release.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseTerm {
     /// Random number of the acquisition.
     pub nonce: u64,
     /// Fencing number of the orders.
     pub fencing: FencingNumber,
-    /// End of the authority.
+    /// Time from which no order may be issued unless the lease is renewed.
     pub deadline: LocalTime,
     /// Version of the object as last known.
     pub version: ObjectVersion,
-    /// Number of the last write.
+    /// Number of the last write within the acquisition.
     pub renewals: u64,
-    /// Moment of the last write's send.
+    /// Time at which the last write was sent; the origin makes a new one due.
     pub written_at: LocalTime,
     /// Longest time from an order's send to its deadline, as written.
     pub order_span: TimeSpan,
-    /// Longest time that an order may act after its deadline, as written.
+    /// Longest time after its deadline at which an order may still act, as written.
     pub arrival_margin: TimeSpan,
-    /// Write under way.
+    /// Pending write, if any.
     pub write: Option<PendingWrite>,
 }
 
 impl LeaseTerm {
-    /// Gives up a write whose outcome is unknown; the next one follows soon.
+    /// Abandons a write whose outcome is unknown and makes the next one due.
     pub fn abandon_write(&mut self) {
         self.write = None;
         self.written_at = LocalTime::ORIGIN;
     }
 }
 
-/// The lease in one state of its life cycle.
+/// Lease in one state of its life cycle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlanLease<S> {
-    /// Data of the state.
+    /// Data of this state.
     pub state: S,
 }
 
 impl PlanLease<Follower> {
-    /// Starts without knowledge, or with the object as last seen.
+    /// Creates a follower, with the object as last seen if there is one.
     #[must_use]
     pub const fn watch(seen: Option<SeenObject>) -> Self {
         Self {
@@ -130,13 +130,15 @@
         }
     }
 
-    /// Notes a version of the object; an older one changes nothing.
+    /// Records a version of the object; a version already seen or an older one is
+    /// ignored.
     pub fn record(&mut self, version: ObjectVersion, value: Option<PlanObject>, now: LocalTime) {
         let known = self.state.seen.as_ref().map(|seen| seen.version);
         let is_new = match (known, &value) {
             (None, _) => true,
             (Some(known), Some(_)) => version > known,
-            // The object was deleted; its last version stays the lower bound.
+            // The object was deleted: a missing object has version zero, so a
+            // repeated observation has the known version.
             (Some(known), None) => known != version,
         };
         if is_new {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Sends the first write.
+    /// Returns the state after the acquiring write is sent.
     #[must_use]
     pub const fn acquire(write: PendingWrite, effect_end: LocalTime) -> PlanLease<Acquiring> {
         PlanLease {
@@ -158,7 +160,9 @@
 }
 
 impl PlanLease<Acquiring> {
-    /// Takes the lease after the write was seen to have landed.
+    /// Returns the state after the acquiring write is stored.
+    ///
+    /// The lease counts from `counted_from`.
     #[must_use]
     pub fn acquired(
         self,
@@ -188,7 +192,9 @@
 }
 
 impl PlanLease<Waiting> {
-    /// Goes on to hold, once earlier orders have died out.
+    /// Returns the state once no order of earlier holders can take effect.
+    ///
+    /// From now on this VM's own order times apply.
     #[must_use]
     pub fn into_holding(self, settings: &PlanSettings) -> PlanLease<Holding> {
         let term = LeaseTerm {
@@ -202,21 +208,21 @@
     }
 }
 
-/// The lease in whichever state it is.
+/// Phase of the lease on this VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeasePhase {
     /// Another VM, or nobody, holds the lease.
     Follower(PlanLease<Follower>),
-    /// The first write is under way.
+    /// The write that acquires the lease is pending.
     Acquiring(PlanLease<Acquiring>),
-    /// Held; orders of earlier holders may still arrive.
+    /// Held by this VM; orders of earlier holders may still take effect.
     Waiting(PlanLease<Waiting>),
-    /// Held.
+    /// Held by this VM; orders may be sent.
     Holding(PlanLease<Holding>),
 }
 
 impl LeasePhase {
-    /// Returns the term, when the lease is held.
+    /// Returns the term; none unless this VM holds the lease.
     #[must_use]
     pub const fn term(&self) -> Option<&LeaseTerm> {
         match self {
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Returns the term for a change, when the lease is held.
+    /// Returns the term for modification; none unless this VM holds the lease.
     pub const fn term_mut(&mut self) -> Option<&mut LeaseTerm> {
         match self {
             Self::Waiting(lease) => Some(&mut lease.state.term),
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Returns the name of the state.
+    /// Returns the name of the phase as the status shows it.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
--- a/crates/clementinepond_decide/src/plan/ledger.rs
+++ b/crates/clementinepond_decide/src/plan/ledger.rs
@@ -1,9 +1,9 @@
-//! Possible memory of one endpoint.
+//! Ledger of the orders that may still take effect on one endpoint.
 //!
-//! An order may take effect from the moment of its intent until the end of
-//! its window, the deadline and the arrival margin. Within the window even an
-//! order that was seen to act may act again, since a copy of it may reach the
-//! endpoint after a restart.
+//! An order may take effect from the time at which its intent is written until the
+//! end of its window, which is the deadline plus the arrival margin. Within the
+//! window, even an order that is known to have taken effect may do so again, since
+//! a copy of it may reach the endpoint after a restart.
 
 use super::{EndpointAction, EndpointReport, HoldingKey, OrderNumber};
 use clementinepond_types::{AdapterId, LocalTime, MemorySize};
@@ -12,14 +12,14 @@
 /// Order that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PossibleOrder {
-    /// What the order asks for.
+    /// Load, unload or role change to carry out.
     pub action: EndpointAction,
-    /// Why the order is given.
+    /// Reason, for operators.
     pub reason: Box<str>,
-    /// Moment after which no copy of the order can take effect.
+    /// Time after which no copy of the order can take effect.
     pub window_end: LocalTime,
-    /// First order issued after the window; a report that names it, or a
-    /// later one, shows what became of this order.
+    /// First order issued after the window; none before it is issued. A report that
+    /// names it, or a later one, shows the outcome of this order.
     pub barrier: Option<OrderNumber>,
 }
 
@@ -30,12 +30,14 @@
 }
 
 impl EndpointLedger {
-    /// Reserves for an order before it is sent.
+    /// Adds an order before it is sent.
     pub fn reserve(&mut self, number: OrderNumber, order: PossibleOrder) {
         self.orders.insert(number, order);
     }
 
-    /// Notes that an order leaves for the endpoint.
+    /// Sets the end of an order's window when the order is sent.
+    ///
+    /// The order also becomes the barrier of earlier ones.
     pub fn issue(&mut self, number: OrderNumber, window_end: LocalTime, now: LocalTime) {
         self.record_barrier(number, now);
         if let Some(order) = self.orders.get_mut(&number) {
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Makes an order the barrier of every order whose window is over.
+    /// Makes an order the barrier of every order whose window has ended and that has
+    /// no barrier yet.
     pub fn record_barrier(&mut self, number: OrderNumber, now: LocalTime) {
         for order in self.orders.values_mut() {
             if order.window_end < now && order.barrier.is_none() {
@@ -52,34 +55,35 @@
         }
     }
 
-    /// Ends the reservations that a report settles.
+    /// Removes the orders whose window has ended and whose outcome the report shows.
     pub fn release_resolved(&mut self, report: &EndpointReport, now: LocalTime) {
         self.orders
             .retain(|_, order| order.window_end >= now || !is_resolved(order, report));
     }
 
-    /// Drops one order, whatever became of it.
+    /// Removes one order, whatever its outcome.
     pub fn forget(&mut self, number: OrderNumber) {
         self.orders.remove(&number);
     }
 
-    /// Drops the orders whose window is over, without a report.
+    /// Removes the orders whose window has ended, without a report.
     pub fn forget_expired(&mut self, now: LocalTime) {
         self.orders.retain(|_, order| order.window_end >= now);
     }
 
-    /// Drops the orders that a report shows as done.
+    /// Removes the orders that the report shows as completed.
     pub fn forget_completed(&mut self, report: &EndpointReport) {
         self.orders.retain(|_, order| !is_done(order, report));
     }
 
-    /// Returns whether an order whose window is over still lacks its proof.
+    /// Returns whether the outcome of an order whose window has ended is unknown.
     #[must_use]
     pub fn has_unresolved(&self, now: LocalTime) -> bool {
         self.orders.values().any(|order| order.window_end < now)
     }
 
-    /// Returns the memory that may be in use.
+    /// Returns the upper bound of the memory in use: the reported memory plus every
+    /// load that may still take effect and is not in the report.
     #[must_use]
     pub fn possible(
         &self,
@@ -100,7 +104,7 @@
         reported_memory(report, adapters) + reserved.into_values().sum()
     }
 
-    /// Returns whether a load of something may still take effect.
+    /// Returns whether a load of the model version or adapter may still take effect.
     #[must_use]
     pub fn may_load(&self, key: &HoldingKey) -> bool {
         self.orders
@@ -109,7 +113,8 @@
             .any(|(loaded, _)| loaded == *key)
     }
 
-    /// Returns whether an unload of something may still take effect.
+    /// Returns whether an unload of the model version or adapter may still take
+    /// effect.
     #[must_use]
     pub fn may_unload(&self, key: &HoldingKey) -> bool {
         self.orders
@@ -118,19 +123,20 @@
             .any(|unloaded| unloaded == *key)
     }
 
-    /// Iterates over the orders.
+    /// Returns the orders in ascending order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (OrderNumber, &PossibleOrder)> {
         self.orders.iter().map(|(number, order)| (*number, order))
     }
 
-    /// Returns whether nothing can take effect any more.
+    /// Returns whether no order can take effect any more.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 }
 
-/// Returns the memory that a report accounts for.
+/// Returns the larger of the memory that the report gives as used and the sum over
+/// the models and adapters that it lists.
 fn reported_memory(
     report: &EndpointReport,
     adapters: &BTreeMap<AdapterId, MemorySize>,
--- a/crates/clementinepond_decide/src/plan/mod.rs
+++ b/crates/clementinepond_decide/src/plan/mod.rs
@@ -1,18 +1,19 @@
 //! Placement: which models and adapters each endpoint holds.
 //!
-//! One VM of a data centre holds the *plan lease*, an object of kind `plan`
-//! on the platform. The lease's epoch is the fencing number of every order.
-//! The holder writes each order into the object before it sends the order, so
-//! that the next holder knows every order that may still take effect.
+//! One VM of a data centre holds the *plan lease*, an object of kind `plan` on the
+//! platform. The object's fencing number goes with every order and increases with
+//! each acquisition. The holder writes each load and unload order into the object
+//! before it sends the order, so that the next holder knows every one that may still
+//! take effect.
 //!
-//! For each endpoint the holder keeps its *possible memory*: what the
-//! endpoint reported and every load that may still take effect. The answer to
-//! an order proves nothing, since a copy of the order may still be under way;
-//! a reservation ends only by a report that is newer than the last moment at
-//! which the order could arrive. Such a report is one that names an order
-//! issued after that moment, which the reducer calls a *barrier*.
+//! For each endpoint the holder tracks the *possible memory*, an upper bound of the
+//! memory in use: what the endpoint reported plus every load that may still take
+//! effect. The reply to an order is no proof of its outcome, since a copy of the
+//! order may still be in transit. A reservation therefore ends only after the last
+//! time at which the order could arrive, by a report that shows it as completed or
+//! that names an order issued after that time, a *barrier*.
 //!
-//! The planner is a pure function from the view of all endpoints to moves.
+//! The planner is a pure function from the state of all endpoints to moves.
 
 mod catalogue;
 mod compute_load;
--- a/crates/clementinepond_decide/src/plan/object.rs
+++ b/crates/clementinepond_decide/src/plan/object.rs
@@ -1,30 +1,30 @@
-//! The plan object on the platform.
+//! The plan object, which the platform stores.
 
 use super::{EndpointAction, OrderNumber};
 use clementinepond_types::{EndpointId, FencingNumber, TimeSpan, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Order that was written down before it was sent.
+/// Order stored in the plan object before it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderIntent {
     /// Endpoint that receives the order.
     pub endpoint: EndpointId,
     /// Number of the order.
     pub number: OrderNumber,
-    /// What the order asks for.
+    /// Load, unload or role change to carry out.
     pub action: EndpointAction,
-    /// Why the order is given.
+    /// Reason, for operators.
     pub reason: Box<str>,
 }
 
-/// Copy that the plan works towards.
+/// Load that waits for free memory or for the weight store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementGoal {
-    /// Endpoint.
+    /// Endpoint to change.
     pub endpoint: EndpointId,
-    /// What shall be done there next.
+    /// Action to order there.
     pub action: EndpointAction,
-    /// Why.
+    /// Reason, for operators.
     pub reason: Box<str>,
 }
 
@@ -33,14 +33,14 @@
 pub struct WriteId {
     /// Random number of the acquisition.
     pub nonce: u64,
-    /// Number of the write within it.
+    /// Number of the write within the acquisition.
     pub renewals: u64,
 }
 
 /// Content of the object of kind `plan` of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanObject {
-    /// VM that holds the lease; none after a release.
+    /// Lease holder; none after a release.
     pub holder: Option<VmId>,
     /// Random number of the holder's acquisition.
     pub nonce: u64,
@@ -48,20 +48,20 @@
     pub fencing: FencingNumber,
     /// Number of the write within the acquisition.
     pub renewals: u64,
-    /// Length of the lease, from its holder's send of the write.
+    /// Length of the lease, counted from the time at which its holder sent the write.
     pub lease: TimeSpan,
-    /// Longest time that an order may travel and act after its deadline.
+    /// Longest time after its deadline at which an order may still arrive and act.
     pub arrival_margin: TimeSpan,
     /// Longest time from an order's send to its deadline.
     pub order_span: TimeSpan,
     /// Orders that may still take effect.
     pub orders: Vec<OrderIntent>,
-    /// What the plan works towards.
+    /// Loads that wait for free memory or for the weight store, at most 16.
     pub goals: Vec<PlacementGoal>,
 }
 
 impl PlanObject {
-    /// Returns whether a write is from an acquisition.
+    /// Returns whether the given VM wrote this object in the given acquisition.
     #[must_use]
     pub fn is_from(&self, vm: &VmId, nonce: u64) -> bool {
         self.holder.as_ref() == Some(vm) && self.nonce == nonce
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Returns how long after its write the holder may still issue orders.
+    /// Returns how long after this write its holder may still issue orders; zero
+    /// after a release.
     #[must_use]
     pub fn authority_duration(&self) -> TimeSpan {
         match self.holder {
@@ -85,7 +86,9 @@
         }
     }
 
-    /// Returns how long after its write an order may still take effect.
+    /// Returns how long after this write an order may still take effect.
+    ///
+    /// After a release, orders that were sent before it remain.
     #[must_use]
     pub fn effect_duration(&self) -> TimeSpan {
         let issue = match self.holder {
--- a/crates/clementinepond_decide/src/plan/order.rs
+++ b/crates/clementinepond_decide/src/plan/order.rs
@@ -5,10 +5,10 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Bits of an order number below the fencing number.
+/// Low bits of an order number, which count the orders of one fencing number.
 const COUNTER_BITS: u32 = 24;
 
-/// Number of one order; grows for each endpoint, over all holders.
+/// Number of an order; increases for each endpoint, also across lease holders.
 #[derive(
     Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -16,45 +16,45 @@
 pub struct OrderNumber(u64);
 
 impl OrderNumber {
-    /// Wraps a plain number.
+    /// Creates an order number from its integer value.
     #[must_use]
     pub const fn new(value: u64) -> Self {
         Self(value)
     }
 
-    /// Returns the plain number.
+    /// Returns the integer value.
     #[must_use]
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Returns the first number of a fencing number.
+    /// Returns the first order number under a fencing number.
     #[must_use]
     pub const fn first_of(fencing: FencingNumber) -> Self {
         Self(fencing.get() << COUNTER_BITS)
     }
 
-    /// Returns the number that follows.
+    /// Returns the next order number.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 }
 
-/// Part that an endpoint takes in serving a request.
+/// Phases of a request that an endpoint serves.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointRole {
-    /// Reads prompts.
+    /// Processes prompts.
     Prefill,
     /// Generates tokens.
     Decode,
-    /// Does both.
+    /// Processes prompts and generates tokens.
     #[default]
     Both,
 }
 
-/// What an order asks of an endpoint, in the engines' own form.
+/// Action that an order requests, in the form that engines accept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointAction {
@@ -64,7 +64,7 @@
         model: ModelId,
         /// Version to load.
         version: ModelVersion,
-        /// Memory that it takes.
+        /// Memory that one copy takes.
         memory_mib: MemorySize,
     },
     /// Drains and unloads a model version.
@@ -74,13 +74,13 @@
         /// Version to unload.
         version: ModelVersion,
     },
-    /// Loads an adapter beside its model.
+    /// Loads an adapter on an endpoint that holds its model.
     LoadAdapter {
         /// Adapter to load.
         adapter: AdapterId,
-        /// Model that it extends.
+        /// Model that the adapter extends.
         model: ModelId,
-        /// Memory that it takes.
+        /// Memory that one copy takes.
         memory_mib: MemorySize,
     },
     /// Unloads an adapter.
@@ -96,7 +96,7 @@
 }
 
 impl EndpointAction {
-    /// Returns what a load would add, and its memory.
+    /// Returns the key and memory that a load would add; none for other actions.
     #[must_use]
     pub fn loaded(&self) -> Option<(HoldingKey, MemorySize)> {
         match self {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns what an unload would remove.
+    /// Returns the key that an unload would remove; none for other actions.
     #[must_use]
     pub fn unloaded(&self) -> Option<HoldingKey> {
         match self {
--- a/crates/clementinepond_decide/src/plan/periodic.rs
+++ b/crates/clementinepond_decide/src/plan/periodic.rs
@@ -1,4 +1,4 @@
-//! Periodic work.
+//! Periodic work and life cycle of the lease.
 
 use super::catalogue::rendezvous_weight;
 use super::lease::{LeasePhase, PendingWrite, PlanLease, SeenObject};
@@ -8,7 +8,7 @@
 };
 use clementinepond_types::{FencingNumber, LocalTime, ObjectVersion};
 
-/// Takes in the passing of time.
+/// Runs the work that is due.
 pub(super) fn tick(state: &mut PlanState, seed: u64, now: LocalTime) -> Vec<PlanEffect> {
     let mut effects = Vec::new();
     expire(state, now);
@@ -22,14 +22,15 @@
     effects
 }
 
-/// Gives up the lease in a graceful shutdown.
+/// Releases the lease in a graceful shutdown; staged orders are dropped.
 pub(super) fn release(state: &mut PlanState, now: LocalTime) -> Vec<PlanEffect> {
     state.releasing = true;
     state.staged.clear();
     writing::write(state, now).into_iter().collect()
 }
 
-/// Ends a term whose deadline has passed.
+/// Becomes a follower when the lease or the first write of an acquisition has
+/// expired.
 fn expire(state: &mut PlanState, now: LocalTime) {
     let is_expired = state.phase.term().is_some_and(|term| now >= term.deadline);
     let is_stale = matches!(
@@ -67,7 +68,7 @@
     }
 }
 
-/// Returns this VM's place in the order of candidates.
+/// Returns the number of members that come before this VM as candidates.
 fn rank(state: &PlanState) -> u32 {
     let data_centre = state.data_centre.as_str();
     let own = rendezvous_weight(data_centre, state.vm.as_str());
@@ -79,13 +80,14 @@
     u32::try_from(earlier).unwrap_or(u32::MAX)
 }
 
+/// Returns the time from which this VM may acquire the lease.
 fn acquirable_at(state: &PlanState, seen: &SeenObject, rank: u32) -> LocalTime {
     let stagger = state
         .settings
         .candidate_stagger
         .fraction(u64::from(rank), 1);
     let authority_end = if seen.value.is_none() && !has_no_prior_orders(state) {
-        // The object was deleted; its last holder may still act.
+        // The object was deleted, so its last holder may still issue orders.
         seen.first_seen + state.settings.lengthened(state.settings.lease)
     } else {
         seen.authority_end(&state.settings)
@@ -93,7 +95,8 @@
     authority_end + stagger
 }
 
-/// Returns whether there are endpoints and none has ever had an order.
+/// Returns whether there are endpoints and all of them report that they have seen
+/// no order.
 fn has_no_prior_orders(state: &PlanState) -> bool {
     let is_fresh = |entry: &EndpointEntry| {
         entry.report.as_ref().is_some_and(|report| {
@@ -153,6 +156,7 @@
     }
 }
 
+/// Returns the time after which no order of earlier holders can take effect.
 fn effect_end(state: &PlanState, seen: &SeenObject, now: LocalTime) -> LocalTime {
     if state.settings.mutated(PlanMutation::NoWaitOnTakeover) {
         return now;
@@ -192,7 +196,7 @@
     writing::write_if_due(state, now, effects);
 }
 
-/// Reads the object again after a lost answer.
+/// Reads the object again after a lost reply to a write.
 fn read_again(state: &mut PlanState, now: LocalTime, effects: &mut Vec<PlanEffect>) {
     let write = match &state.phase {
         LeasePhase::Acquiring(lease) => Some(&lease.state.write),
--- a/crates/clementinepond_decide/src/plan/planner/adapters.rs
+++ b/crates/clementinepond_decide/src/plan/planner/adapters.rs
@@ -1,11 +1,12 @@
-//! Adapters follow the copies of their models.
+//! Placement of adapters beside the copies of their models.
 
 use super::draft::DraftPlacement;
 use super::{CopyState, MoveReason, PlannedMove, UnplacedItem, UnplacedReason};
 use crate::plan::EndpointAction;
 use clementinepond_types::{AdapterId, ModelId};
 
-/// Loads adapters beside every ready copy and unloads those left alone.
+/// Loads adapters on endpoints with a ready copy of their model, and unloads those
+/// whose model is no longer on the endpoint.
 pub(super) fn place(draft: &mut DraftPlacement<'_>) {
     unload_orphaned_adapters(draft);
     let adapters: Vec<(&AdapterId, &ModelId)> = draft
@@ -14,7 +15,7 @@
         .iter()
         .map(|(id, need)| (id, &need.model))
         .collect();
-    // First copies go before second copies of any adapter.
+    // Every adapter gets a first copy before any gets a second one.
     for &(adapter, model) in &adapters {
         if !is_held(draft, adapter) && !load(draft, adapter, model, 1) {
             report_missing(draft, adapter, model);
@@ -33,7 +34,9 @@
     })
 }
 
-/// Loads an adapter on up to `count` endpoints; returns whether any can be.
+/// Loads an adapter on up to `count` endpoints, within the adapter budget.
+///
+/// Returns whether any endpoint is suitable, also if the budget is used up.
 fn load(
     draft: &mut DraftPlacement<'_>,
     adapter: &AdapterId,
--- a/crates/clementinepond_decide/src/plan/planner/draft.rs
+++ b/crates/clementinepond_decide/src/plan/planner/draft.rs
@@ -1,4 +1,4 @@
-//! The placement under change, with dense indices.
+//! The draft placement, with endpoints and models under dense indices.
 
 use super::{
     CopyState, HoldingView, ModelNeed, MoveBudget, MoveReason, PlanOutcome, PlanProblem,
@@ -9,10 +9,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Thousandths of an accelerator in one.
 const MILLI_PER_ACCELERATOR: f64 = 1_000.0;
 
-/// One copy of a model.
+/// Copy of a model in the draft; its load is in thousandths of an accelerator.
 #[derive(Debug, Clone)]
 pub(super) struct DraftCopy {
     pub(super) slot: usize,
@@ -21,15 +20,18 @@
     pub(super) load: f64,
 }
 
-/// One endpoint.
+/// Endpoint in the draft.
+///
+/// Memory is in MiB, capacity in thousandths of an accelerator.
 #[derive(Debug)]
 pub(super) struct EndpointSlot<'a> {
     pub(super) id: &'a EndpointId,
     pub(super) accepting: bool,
     pub(super) memory: u64,
-    /// Memory that is free for certain.
+    /// Memory that is free even if every pending load takes effect.
     pub(super) free: u64,
-    /// Memory that is free once everything that leaves has left.
+    /// Memory that is free once all leaving copies are unloaded and all planned
+    /// loads are done.
     pub(super) free_after_unloads: u64,
     pub(super) capacity: f64,
     pub(super) remaining_capacity: f64,
@@ -37,19 +39,24 @@
     pub(super) adapters: &'a BTreeMap<AdapterId, CopyState>,
 }
 
-/// One hosted model.
+/// Hosted model in the draft; loads are in thousandths of an accelerator.
 #[derive(Debug)]
 pub(super) struct DraftModel<'a> {
     pub(super) id: &'a ModelId,
     pub(super) need: &'a ModelNeed,
     pub(super) adapters: Vec<&'a AdapterId>,
-    /// Memory of a copy with all its adapters.
+    /// Memory of a copy with all its adapters, in MiB.
     pub(super) footprint: u64,
+    /// Forecast load with headroom.
     pub(super) load: f64,
+    /// Load that no copy serves.
     pub(super) deficit: f64,
+    /// Factor of the load in comparisons between models: 1 to 2, by priority.
     pub(super) weight: f64,
     pub(super) required: u32,
+    /// Reasons of the exceptions that require a copy, by slot.
     pub(super) pins: BTreeMap<usize, &'a str>,
+    /// Reasons of the exceptions that forbid a copy, by slot.
     pub(super) forbidden: BTreeMap<usize, &'a str>,
     pub(super) copies: Vec<DraftCopy>,
 }
@@ -63,7 +70,7 @@
         self.copies.iter().any(|copy| copy.slot == slot)
     }
 
-    /// Counts copies that serve or will serve the wanted version.
+    /// Returns the number of ready and arriving copies of the wanted version.
     pub(super) fn current_copies(&self) -> usize {
         self.copies
             .iter()
@@ -72,7 +79,7 @@
     }
 }
 
-/// The placement under change.
+/// The placement while it is being planned: current copies and planned changes.
 pub(super) struct DraftPlacement<'a> {
     pub(super) problem: &'a PlanProblem,
     pub(super) slots: Vec<EndpointSlot<'a>>,
@@ -152,7 +159,10 @@
         });
     }
 
-    /// Adds a copy; the load is ordered now if room and the store allow it.
+    /// Adds a copy.
+    ///
+    /// Becomes a move if free memory and the load budget allow it now, and a goal
+    /// otherwise.
     pub(super) fn place(&mut self, model: usize, slot: usize, reason: MoveReason) {
         let entry = &mut self.models[model];
         let footprint = entry.footprint;
@@ -184,7 +194,8 @@
         self.assign_to_new_copy(model, self.models[model].copies.len() - 1);
     }
 
-    /// Withdraws a copy.
+    /// Marks a copy as leaving, plans its unload and spreads its load over the
+    /// other copies.
     pub(super) fn remove(&mut self, model: usize, copy: usize, reason: MoveReason) {
         let released = self.released_memory(model, copy);
         let entry = &mut self.models[model];
@@ -208,7 +219,9 @@
         self.spread_deficit(model);
     }
 
-    /// Returns the memory that a copy and its adapters give back.
+    /// Returns the memory that unloading a copy and its adapters frees, in MiB.
+    ///
+    /// The copy counts with the size of the wanted version.
     pub(super) fn released_memory(&self, model: usize, copy: usize) -> u64 {
         let entry = &self.models[model];
         let held = self.slots[entry.copies[copy].slot].adapters;
@@ -230,8 +243,8 @@
         });
     }
 
-    /// Returns the models, the most important first; among equals, those that
-    /// other data centres leave to this one.
+    /// Returns the models by descending priority; among equals, those for which
+    /// this data centre ranks first come first.
     pub(super) fn by_priority(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|&index| {
@@ -275,7 +288,7 @@
         .iter()
         .map(|(id, need)| {
             let adapters = adapters.remove(id).unwrap_or_default();
-            let beside: u64 = adapters
+            let adapter_memory: u64 = adapters
                 .iter()
                 .filter_map(|adapter| problem.adapters.get(*adapter))
                 .map(|adapter| adapter.memory.get())
@@ -284,7 +297,7 @@
                 id,
                 need,
                 adapters,
-                footprint: need.memory.get() + beside,
+                footprint: need.memory.get() + adapter_memory,
                 load: need.load * headroom,
                 deficit: 0.0,
                 weight: 1.0 + f64::from(need.priority.get()) / 255.0,
@@ -297,7 +310,7 @@
         .collect()
 }
 
-/// Returns the adapters that only one set of seats holds.
+/// Returns whether any of the given slots holds the adapter ready.
 pub(super) fn is_ready_on(
     draft: &DraftPlacement<'_>,
     adapter: &AdapterId,
--- a/crates/clementinepond_decide/src/plan/planner/load_assignment.rs
+++ b/crates/clementinepond_decide/src/plan/planner/load_assignment.rs
@@ -1,17 +1,20 @@
-//! Load of each copy.
+//! Assignment of each model's load to its copies.
 //!
-//! Models with few copies choose first, since models with many can turn
-//! elsewhere. A model's load is spread over its copies in proportion to what
-//! their endpoints have left.
+//! Models with few copies are assigned first, since models with many copies can
+//! use other endpoints. A model's load is spread over its copies in proportion to
+//! the load that each can still take: the lesser of the copy's limit and the
+//! endpoint's remaining capacity.
 
 use super::CopyState;
 use super::draft::DraftPlacement;
 
-/// Smallest share of an endpoint that interference leaves.
+/// Smallest share of an endpoint's capacity left by interference between models.
 const MIN_CAPACITY_SHARE: f64 = 0.6;
 
 impl DraftPlacement<'_> {
     /// Assigns the load of every model.
+    ///
+    /// The second pass uses capacity that the first one left.
     pub(super) fn assign_load(&mut self) {
         self.apply_interference();
         for model in &mut self.models {
@@ -42,7 +45,7 @@
         }
     }
 
-    /// Spreads what a model still lacks over its copies.
+    /// Spreads a model's unserved load over the copies that are not leaving.
     pub(super) fn spread_deficit(&mut self, model: usize) {
         let entry = &mut self.models[model];
         let limit = entry.need.replica_limit;
@@ -70,7 +73,8 @@
         }
     }
 
-    /// Gives a new copy what its model still lacks.
+    /// Assigns a model's unserved load to a new copy, within the copy's limit and
+    /// the endpoint's remaining capacity.
     pub(super) fn assign_to_new_copy(&mut self, model: usize, copy: usize) {
         let entry = &mut self.models[model];
         let target = &mut entry.copies[copy];
@@ -85,8 +89,10 @@
         entry.deficit -= taken;
     }
 
-    /// Returns the load that is lost if a copy goes: what the other copies
-    /// cannot take over now, and a part of what it may be needed for again.
+    /// Returns the weighted load lost by removing a copy.
+    ///
+    /// This is the load that the other copies cannot take over now, plus a share
+    /// of the recent peak, for which the copy may be needed again.
     pub(super) fn removal_loss(&self, model: usize, copy: usize) -> f64 {
         let entry = &self.models[model];
         let others = || {
--- a/crates/clementinepond_decide/src/plan/planner/mod.rs
+++ b/crates/clementinepond_decide/src/plan/planner/mod.rs
@@ -1,10 +1,10 @@
 //! The planner: a pure function from the view of all endpoints to moves.
 //!
-//! It starts from the placement as it is, with everything in transit, and
-//! improves it by single copies, the most useful first. It has no memory of
-//! its own: a change that takes several steps goes on because the next plan
-//! finds the same best step. Nothing is unloaded but to make room, to follow
-//! a version or to obey an exception.
+//! It starts from the current placement, including loads and unloads under way,
+//! and improves it one copy at a time, the most useful first. It keeps no state
+//! between plans: a change of several steps continues because the next plan finds
+//! the same best step. A copy is unloaded only to free memory, to change its
+//! version, to obey an exception, or because it is no longer hosted.
 
 mod adapters;
 mod draft;
@@ -24,7 +24,7 @@
 
 use draft::DraftPlacement;
 
-/// Plans the next moves.
+/// Returns the next moves, the goals that must wait and the unplaced items.
 #[must_use]
 pub fn plan(problem: &PlanProblem) -> PlanOutcome {
     let mut draft = DraftPlacement::new(problem);
--- a/crates/clementinepond_decide/src/plan/planner/outcome.rs
+++ b/crates/clementinepond_decide/src/plan/planner/outcome.rs
@@ -1,107 +1,116 @@
-//! What the planner returns.
+//! Moves, goals and unplaced items: the result of a plan.
 
 use crate::plan::EndpointAction;
 use clementinepond_types::{AdapterId, EndpointId, ModelId};
 use derive_more::Display;
 use serde::Serialize;
 
-/// Why a move is made.
+/// Reason for a move; its text is stored with the order and shown to operators.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum MoveReason {
-    /// The model has too few copies.
+    /// The model has fewer copies than required.
     #[display("required: the model has {found} of {required} copies")]
     Required {
-        /// Copies there are.
+        /// Number of copies found.
         found: usize,
-        /// Copies there must be.
+        /// Number of copies required.
         required: u32,
     },
-    /// An exception asks for it.
+    /// An exception requires it, for the given reason.
     #[display("exception: {_0}")]
     Exception(Box<str>),
-    /// The model's version changes.
+    /// The model changes to another version.
     #[display("version change")]
     Version,
-    /// Demand is not met.
+    /// Part of the expected load is unserved.
     #[display("demand: serves {gain} more mAcc")]
     Demand {
-        /// Load served besides.
+        /// Additional load served, in thousandths of an accelerator.
         gain: u64,
     },
-    /// Room is free.
+    /// The copy uses memory that is free.
     #[display("free room")]
     FreeMemory,
-    /// The room is needed.
+    /// The copy is unloaded to free memory for the given model.
     #[display("room for {_0}")]
     MemoryFor(ModelId),
-    /// The copy lets another copy make room.
+    /// The new copy lets another copy be unloaded, to free memory for the given
+    /// model.
     #[display("stepping stone for {_0}")]
     Relocation(ModelId),
-    /// The model or adapter is hosted no more.
+    /// The model or adapter is no longer hosted, or the adapter's endpoint no
+    /// longer holds its model.
     #[display("no longer hosted")]
     NotHosted,
-    /// The adapter shall be beside its model.
+    /// The adapter is loaded on an endpoint that holds its model.
     #[display("adapter beside its model")]
     BesideModel,
 }
 
-/// One move.
+/// Change to one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedMove {
-    /// Endpoint that is changed.
+    /// Endpoint to change.
     pub endpoint: EndpointId,
-    /// Change.
+    /// Load or unload to order.
     pub action: EndpointAction,
-    /// Why.
+    /// Reason for the change.
     pub reason: MoveReason,
 }
 
-/// Why something could not be placed.
+/// Reason why a model or adapter could not be placed.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UnplacedReason {
-    /// No endpoint takes orders now.
-    #[display("no endpoint takes orders; check that endpoints are listed and report")]
+    /// No allowed endpoint accepts orders.
+    #[display(
+        "no allowed endpoint accepts orders; check that endpoints are listed and send reports, or lift an exception"
+    )]
     NoEndpoint,
-    /// No endpoint is large enough.
+    /// The largest allowed endpoint is too small for a copy.
     #[display(
         "needs {needed_mib} MiB with its adapters, the largest allowed endpoint has {largest_mib} MiB; add a larger endpoint or lift an exception"
     )]
     TooLarge {
-        /// Memory of one copy with its adapters.
+        /// Memory of one copy with its adapters, in MiB.
         needed_mib: u64,
-        /// Largest endpoint that is allowed.
+        /// Memory of the largest allowed endpoint, in MiB.
         largest_mib: u64,
     },
-    /// Everything else on every endpoint must stay.
-    #[display("no room, also with a stepping stone; add an endpoint, unpin a model or host fewer")]
+    /// No endpoint has enough memory that is free or can be freed, also by
+    /// relocating other copies.
+    #[display(
+        "no endpoint can free enough memory, also by relocating other copies; add an endpoint, unpin a model or host fewer models"
+    )]
     NoRoom,
-    /// The adapter's model has no copy with room beside it.
-    #[display("no ready copy of {model} has room beside it; wait for the model or add memory")]
+    /// No endpoint with a ready copy of the model has free memory for the adapter.
+    #[display(
+        "no endpoint with a ready copy of {model} has free memory for the adapter; wait for the model or add memory"
+    )]
     NoModel {
-        /// Model of the adapter.
+        /// Model that the adapter extends.
         model: ModelId,
     },
 }
 
-/// Something that could not be placed.
+/// Model or adapter that could not be placed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct UnplacedItem {
-    /// Model that lacks a copy.
+    /// Model that lacks a copy; none for an adapter.
     pub model: Option<ModelId>,
-    /// Adapter that lacks a copy.
+    /// Adapter that lacks a copy; none for a model.
     pub adapter: Option<AdapterId>,
-    /// Why.
+    /// Reason, with the remedy.
     pub reason: UnplacedReason,
 }
 
-/// What the planner returns.
+/// Result of a plan.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PlanOutcome {
-    /// Moves to make now, the most useful first.
+    /// Moves to start now, in the order of the planner's stages.
     pub moves: Vec<PlannedMove>,
-    /// Moves that wait for room or for the weight store.
+    /// Loads that wait for free memory or for the weight store.
     pub goals: Vec<PlannedMove>,
-    /// What could not be placed.
+    /// Models and adapters that could not be placed.
     pub unplaced: Vec<UnplacedItem>,
 }
--- a/crates/clementinepond_decide/src/plan/planner/placement_option.rs
+++ b/crates/clementinepond_decide/src/plan/planner/placement_option.rs
@@ -1,21 +1,24 @@
-//! Room for a copy: free, or made by removing other copies.
+//! Memory for a copy: free, or freed by unloading other copies.
 
 use super::CopyState;
 use super::draft::{DraftPlacement, is_ready_on};
 use std::collections::BTreeSet;
 
-/// A place for a copy and what must go for it.
+/// Slot for a copy and the copies to unload for it.
 #[derive(Debug, Clone)]
 pub(super) struct PlacementOption {
     pub(super) slot: usize,
-    /// Model and copy index of each copy that must go.
+    /// Model index and copy index of each copy to unload.
     pub(super) removed: Vec<(usize, usize)>,
-    /// Load lost by the removals, weighted.
+    /// Weighted load lost by the removals, in thousandths of an accelerator.
     pub(super) removal_loss: f64,
 }
 
 impl DraftPlacement<'_> {
-    /// Returns whether a model may be placed at a seat.
+    /// Returns whether a model may be placed on an endpoint.
+    ///
+    /// The endpoint must accept orders, be large enough when empty, not be
+    /// forbidden and not hold the wanted version.
     pub(super) fn may_place(&self, model: usize, slot: usize) -> bool {
         let entry = &self.models[model];
         let endpoint = &self.slots[slot];
@@ -28,7 +31,11 @@
                 .any(|copy| copy.slot == slot && entry.is_current(copy))
     }
 
-    /// Returns whether a copy may go without harm.
+    /// Returns whether a copy may be unloaded.
+    ///
+    /// It must be ready and not pinned, and the endpoints with other ready copies
+    /// must be as many as required and hold all of its adapters. A model of which
+    /// no copy is required may lose its only ready copy, adapters included.
     pub(super) fn removable(&self, model: usize, copy: usize) -> bool {
         let entry = &self.models[model];
         let target = &entry.copies[copy];
@@ -77,7 +84,10 @@
             .all(|adapter| is_ready_on(self, adapter, others))
     }
 
-    /// Returns what must go from a seat to make room, the least loss first.
+    /// Returns the copies to unload so that a model fits on an endpoint; none if
+    /// unloading every removable copy is not enough.
+    ///
+    /// Copies are chosen in ascending order of loss.
     pub(super) fn option_at(&self, model: usize, slot: usize) -> Option<PlacementOption> {
         let endpoint = &self.slots[slot];
         let footprint = self.models[model].footprint;
@@ -95,14 +105,15 @@
             option.removal_loss += removal_loss;
             option.removed.push((other, copy));
             if free >= footprint {
-                self.keep_unneeded_removals(&mut option, free - footprint);
+                self.trim_removals(&mut option, free - footprint);
                 return Some(option);
             }
         }
         None
     }
 
-    /// Returns the removable copies at a seat, the least loss first.
+    /// Returns loss, model index and copy index of each removable copy on an
+    /// endpoint, in ascending order of loss.
     fn removal_candidates(&self, model: usize, slot: usize) -> Vec<(f64, usize, usize)> {
         let mut removal_candidates: Vec<(f64, usize, usize)> = Vec::new();
         let mut seen: BTreeSet<usize> = BTreeSet::new();
@@ -120,8 +131,8 @@
         removal_candidates
     }
 
-    /// Keeps copies that turned out not to be in the way.
-    fn keep_unneeded_removals(&self, option: &mut PlacementOption, mut excess: u64) {
+    /// Keeps copies whose memory is not needed, starting with the largest loss.
+    fn trim_removals(&self, option: &mut PlacementOption, mut excess: u64) {
         let removed = std::mem::take(&mut option.removed);
         for (other, copy) in removed.into_iter().rev() {
             let released = self.released_memory(other, copy);
@@ -134,7 +145,10 @@
         }
     }
 
-    /// Returns the seat that costs least, and then has most left to give.
+    /// Returns the option with the fewest removals, then the least loss.
+    ///
+    /// Among equals, memory that is free now comes before memory that is still
+    /// being freed, and then the endpoint with the most remaining capacity wins.
     pub(super) fn cheapest_option(&self, model: usize) -> Option<PlacementOption> {
         let mut best: Option<PlacementOption> = None;
         for slot in 0..self.slots.len() {
--- a/crates/clementinepond_decide/src/plan/planner/problem.rs
+++ b/crates/clementinepond_decide/src/plan/planner/problem.rs
@@ -1,107 +1,108 @@
-//! What the planner is given.
+//! Input of the planner.
 
 use super::PlannerTuning;
 use crate::plan::{ModelVersion, PlacementException};
 use clementinepond_types::{AdapterId, EndpointId, MemorySize, ModelId, PriorityClass};
 use std::collections::BTreeMap;
 
-/// State of a copy, with every order that may still take effect.
+/// State of a copy, taking into account every order that may still take effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CopyState {
-    /// May come to serve.
+    /// May become ready.
     Arriving,
-    /// Serves for certain.
+    /// Ready, with no unload pending.
     Ready,
-    /// May cease to serve.
+    /// May stop serving.
     Leaving,
 }
 
-/// One model version on one endpoint.
+/// Model version that an endpoint holds or may load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HoldingView {
-    /// Model.
+    /// Model held.
     pub model: ModelId,
-    /// Version.
+    /// Version of the weights.
     pub version: ModelVersion,
-    /// State.
+    /// Whether the copy is arriving, ready or leaving.
     pub state: CopyState,
-    /// Memory taken or reserved.
+    /// Memory used or reserved.
     pub memory: MemorySize,
 }
 
-/// One endpoint.
+/// Endpoint as the planner sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointView {
-    /// Accelerator memory.
+    /// Accelerator memory in total.
     pub memory: MemorySize,
-    /// Memory that may be in use.
+    /// Upper bound of the memory in use, including loads that may still take effect.
     pub possible: MemorySize,
     /// Number of accelerators.
     pub accelerators: u32,
-    /// Whether orders may be given now.
+    /// Whether orders may be sent to it now.
     pub accepting: bool,
-    /// Models held or on their way.
+    /// Models held or being loaded.
     pub holdings: Vec<HoldingView>,
-    /// Adapters held or on their way.
+    /// Adapters held or being loaded.
     pub adapters: BTreeMap<AdapterId, CopyState>,
 }
 
-/// What one model needs.
+/// Requirements of one model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelNeed {
-    /// Version that shall serve.
+    /// Version to serve.
     pub version: ModelVersion,
     /// Memory of one copy.
     pub memory: MemorySize,
-    /// Priority when room is short.
+    /// Priority when memory is short; the larger value is placed first.
     pub priority: PriorityClass,
     /// Load that one copy can carry, in thousandths of an accelerator.
     pub replica_limit: f64,
-    /// Copies that must be kept here.
+    /// Smallest number of copies to keep in this data centre, before exceptions.
     pub min_copies: u32,
-    /// Data centres that come before this one in keeping the model.
+    /// Number of data centres that come before this one in the model's rendezvous
+    /// order; zero for the first.
     pub rendezvous_rank: usize,
-    /// Load to prepare for, in thousandths of an accelerator.
+    /// Forecast load, in thousandths of an accelerator.
     pub load: f64,
-    /// Load that copies are kept for, in thousandths of an accelerator.
+    /// Recent peak of the load, decaying, in thousandths of an accelerator.
     pub recent_peak: f64,
 }
 
-/// What one adapter needs.
+/// Requirements of one adapter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdapterNeed {
-    /// Model that it extends.
+    /// Model that the adapter extends.
     pub model: ModelId,
     /// Memory of one copy.
     pub memory: MemorySize,
 }
 
-/// Loads that may start now.
+/// Number of loads that may start now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MoveBudget {
-    /// Model loads.
+    /// Number of model loads.
     pub loads: u32,
-    /// Adapter loads.
+    /// Number of adapter loads.
     pub adapters: u32,
 }
 
-/// What the planner is given.
+/// Input of the planner.
 #[derive(Debug, Clone)]
 pub struct PlanProblem {
-    /// Endpoints.
+    /// Endpoints with a known report.
     pub endpoints: BTreeMap<EndpointId, EndpointView>,
-    /// Hosted models.
+    /// Requirements of each hosted model.
     pub models: BTreeMap<ModelId, ModelNeed>,
-    /// Hosted adapters.
+    /// Requirements of each hosted adapter.
     pub adapters: BTreeMap<AdapterId, AdapterNeed>,
-    /// Exceptions.
+    /// Operators' departures from the defaults.
     pub exceptions: Vec<PlacementException>,
-    /// Loads that may start now.
+    /// Number of loads that may start now.
     pub budget: MoveBudget,
-    /// Weights.
+    /// Weights and limits of the planner.
     pub tuning: PlannerTuning,
-    /// Whether copies that only arrive count as ready; a test's mutation.
+    /// Whether arriving copies count as ready; set only by tests that remove a guard.
     pub arriving_counts_as_ready: bool,
-    /// Whether last copies may be unloaded; a test's mutation.
+    /// Whether last copies may be unloaded; set only by tests that remove a guard.
     pub last_copy_unprotected: bool,
 }
--- a/crates/clementinepond_decide/src/plan/planner/relocation.rs
+++ b/crates/clementinepond_decide/src/plan/planner/relocation.rs
@@ -1,38 +1,40 @@
-//! Stepping stones: a last copy goes elsewhere first, so that its room can be
-//! used.
+//! Relocation: loads another copy of a model elsewhere first, so that its last
+//! copy can be unloaded and frees memory.
 
 use super::draft::DraftPlacement;
 use super::{CopyState, MoveReason};
 
-/// Copies that must first get a second home, to make room at one seat.
+/// Models that need a copy elsewhere before one endpoint has enough free memory.
 struct RelocationPlan {
-    /// Model that moves, and its new seat; none while its new copy arrives.
+    /// Model to relocate and the slot for its new copy; none if another copy of
+    /// the wanted version already exists or is arriving.
     relocations: Vec<(usize, Option<usize>)>,
 }
 
 impl DraftPlacement<'_> {
-    /// Starts or goes on with making room by stepping stones.
+    /// Starts or continues to free memory for a model by relocating others.
     ///
-    /// Returns whether there is a way.
+    /// Prefers the endpoint that needs the fewest new copies. Returns whether
+    /// any endpoint can be freed.
     pub(super) fn relocate_for(&mut self, model: usize) -> bool {
         let best = (0..self.slots.len())
             .filter(|&slot| self.may_place(model, slot))
             .filter_map(|slot| self.relocation_plan(model, slot))
-            .min_by_key(|path| {
-                let new = path
+            .min_by_key(|plan| {
+                let new = plan
                     .relocations
                     .iter()
-                    .filter(|stone| stone.1.is_some())
+                    .filter(|relocation| relocation.1.is_some())
                     .count();
-                (new, path.relocations.len())
+                (new, plan.relocations.len())
             });
-        let Some(path) = best else {
+        let Some(plan) = best else {
             return false;
         };
         let id = self.models[model].id.clone();
-        for (stone, target) in path.relocations {
+        for (relocated, target) in plan.relocations {
             if let Some(target) = target {
-                self.place(stone, target, MoveReason::Relocation(id.clone()));
+                self.place(relocated, target, MoveReason::Relocation(id.clone()));
             }
         }
         true
@@ -70,7 +72,10 @@
         (free >= footprint).then_some(RelocationPlan { relocations })
     }
 
-    /// Finds a second home; `Some(None)` when one is already on its way.
+    /// Returns the slot for another copy; `Some(None)` if the model already has
+    /// one elsewhere, and none if no endpoint has enough free memory.
+    ///
+    /// `taken` is the memory promised to other relocations, by slot.
     fn relocation_target(
         &self,
         model: usize,
--- a/crates/clementinepond_decide/src/plan/planner/stages.rs
+++ b/crates/clementinepond_decide/src/plan/planner/stages.rs
@@ -1,4 +1,4 @@
-//! The stages of a plan, in the order of their importance.
+//! The stages of a plan, in descending order of importance.
 
 use super::draft::DraftPlacement;
 use super::placement_option::PlacementOption;
@@ -6,10 +6,12 @@
 use crate::plan::EndpointAction;
 use crate::plan::planner::PlannedMove;
 
-/// Models tried for a replacement in one round of the demand stage.
+/// Most models for which one round of the demand stage tries to unload others.
+///
+/// The models with the largest weighted unserved load are tried.
 const MAX_REPLACEMENT_MODELS: usize = 8;
 
-/// Unloads what is hosted no more or forbidden by an exception.
+/// Unloads copies that are no longer hosted or that an exception forbids.
 pub(super) fn unload_unwanted(draft: &mut DraftPlacement<'_>) {
     for (id, view) in &draft.problem.endpoints {
         for holding in view.holdings.iter().filter(|_| view.accepting) {
@@ -38,7 +40,7 @@
     }
 }
 
-/// Places the copies that must exist.
+/// Places pinned copies and the smallest required number of copies.
 pub(super) fn place_required(draft: &mut DraftPlacement<'_>) {
     for model in draft.by_priority() {
         let pins: Vec<(usize, Box<str>)> = draft.models[model]
@@ -62,7 +64,8 @@
     }
 }
 
-/// Counts copies of any version that serve or will serve at an allowed seat.
+/// Returns the number of ready and arriving copies of any version on endpoints
+/// that no exception forbids.
 fn allowed_copies(draft: &DraftPlacement<'_>, model: usize) -> usize {
     let entry = &draft.models[model];
     entry
@@ -85,7 +88,9 @@
     }
 }
 
-/// Places one copy wherever it costs least; returns whether there is a way.
+/// Places one copy where it costs least, or starts to relocate other copies.
+///
+/// Returns whether either is possible; otherwise reports the model as unplaced.
 fn place_one(draft: &mut DraftPlacement<'_>, model: usize, reason: MoveReason) -> bool {
     if let Some(option) = draft.cheapest_option(model) {
         apply_option(draft, model, option, reason);
@@ -131,7 +136,10 @@
     draft.place(model, option.slot, reason);
 }
 
-/// Replaces copies of earlier versions one by one.
+/// Replaces copies of other versions by the wanted one.
+///
+/// Each plan adds at most one copy of a model, and does not unload a ready one of
+/// another version before a copy of the wanted version is ready.
 pub(super) fn replace_old_versions(draft: &mut DraftPlacement<'_>) {
     for model in draft.by_priority() {
         let wanted = needed_copies(draft, model);
@@ -156,7 +164,8 @@
         .map(|(index, _)| index)
 }
 
-/// Loads the new version on an endpoint that holds the earlier one.
+/// Loads the wanted version on an endpoint that holds another one, if its free
+/// memory suffices for both; returns whether it does.
 fn place_on_same_endpoint(draft: &mut DraftPlacement<'_>, model: usize) -> bool {
     let slot = old_copies(draft, model)
         .map(|copy| draft.models[model].copies[copy].slot)
@@ -188,7 +197,8 @@
     }
 }
 
-/// Returns the copies that the load asks for.
+/// Returns the number of copies needed for the load and the required minimum, at
+/// least one.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -202,7 +212,10 @@
         .max(1)
 }
 
-/// Adds copies where they serve most besides.
+/// Adds copies where they serve the most additional load.
+///
+/// Stops at the limit of placements in one plan, or once the load budget is used
+/// up and enough loads wait for it.
 pub(super) fn add_copies_for_demand(draft: &mut DraftPlacement<'_>) {
     let max_waiting_loads =
         usize::try_from(draft.problem.tuning.max_waiting_loads).unwrap_or(usize::MAX);
@@ -247,6 +260,10 @@
     load.round() as u64
 }
 
+/// Replaces the best candidate if an option is better and worth its cost.
+///
+/// The gain less the loss must reach a share of what a copy can carry, larger for
+/// each unload, and the gain must exceed the loss by a set factor.
 fn consider(
     draft: &DraftPlacement<'_>,
     model: usize,
@@ -272,7 +289,8 @@
     }
 }
 
-/// Returns the load that a copy at a seat would serve besides.
+/// Returns the additional load that a copy at a slot would serve, in thousandths
+/// of an accelerator.
 fn gain_at(draft: &DraftPlacement<'_>, model: usize, slot: usize) -> f64 {
     let entry = &draft.models[model];
     entry
@@ -315,7 +333,7 @@
     best.map(|(_, option)| option)
 }
 
-/// Uses free room for models with few copies.
+/// Places models with few copies in free memory, while the load budget lasts.
 pub(super) fn fill_free_memory(draft: &mut DraftPlacement<'_>) {
     for copies in 1..=draft.problem.tuning.free_copies {
         for model in draft.by_priority() {
--- a/crates/clementinepond_decide/src/plan/planner/tuning.rs
+++ b/crates/clementinepond_decide/src/plan/planner/tuning.rs
@@ -1,40 +1,45 @@
-//! Weights of the planner.
+//! Weights and limits of the planner.
 
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Weights of the planner.
+/// Weights and limits of the planner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlannerTuning {
-    /// Share of the forecast to provide for, in hundredths.
+    /// Load to provide for, in hundredths of the forecast; more than 100 leaves
+    /// spare capacity.
     pub headroom_percent: u32,
-    /// Capacity lost for each further busy model on an endpoint, in hundredths.
+    /// Capacity that an endpoint loses for each busy model after the first, in
+    /// hundredths.
     pub interference_percent: u32,
-    /// Smallest gain of one load, in hundredths of what a copy can carry.
+    /// Smallest gain that justifies a load, in hundredths of what a copy can carry.
     pub smallest_gain_percent: u32,
-    /// Further gain for each unload, in hundredths of what a copy can carry.
+    /// Additional gain required for each unload, in hundredths of what a copy can
+    /// carry.
     pub unload_cost_percent: u32,
-    /// Gain over the loss that a replacement must bring, in hundredths.
+    /// Gain required of a replacement, in hundredths of the loss.
     pub gain_over_loss_percent: u32,
-    /// Part of a copy's past load that counts as lost with it, in hundredths.
+    /// Part of a copy's share of the recent peak load that counts as lost when it
+    /// is unloaded, in hundredths.
     #[serde(rename = "regret_percent")]
     pub removal_penalty_percent: u32,
-    /// Most loads considered in one plan.
+    /// Most copies that one plan adds for demand.
     #[serde(rename = "picks")]
     pub max_demand_placements: u32,
-    /// Loads for which room may be made ahead of the weight store.
+    /// Number of waiting loads at which no more copies are added for demand while
+    /// the weight store allows no load.
     #[serde(rename = "pipeline")]
     pub max_waiting_loads: u32,
-    /// Copies of each model that are kept where room is free.
+    /// Number of copies of each model up to which free memory is used.
     pub free_copies: u32,
-    /// Time constant of the level of demand.
+    /// Time constant by which the level of demand is smoothed.
     pub level_time: TimeSpan,
-    /// Time constant of the trend of demand.
+    /// Time constant by which the trend of demand is smoothed.
     pub trend_time: TimeSpan,
-    /// Time for which a past level still counts when copies are removed.
+    /// Time constant by which the recent peak of demand decays.
     pub hold_time: TimeSpan,
-    /// How far the forecast looks ahead.
+    /// Time by which the forecast looks ahead.
     pub look_ahead: TimeSpan,
 }
 
--- a/crates/clementinepond_decide/src/plan/planning.rs
+++ b/crates/clementinepond_decide/src/plan/planning.rs
@@ -1,4 +1,4 @@
-//! The planner's view of the endpoints, and what becomes of its moves.
+//! Input for the planner and the start of its moves.
 
 use super::planner::{
     self, AdapterNeed, CopyState, EndpointView, HoldingView, ModelNeed, MoveBudget, PlanOutcome,
@@ -11,7 +11,7 @@
 use clementinepond_types::{AdapterId, EndpointId, LocalTime, ModelId};
 use std::collections::BTreeMap;
 
-/// Plans, and begins the planned moves.
+/// Runs the planner and starts the moves that it returns.
 pub(super) fn plan_moves(state: &mut PlanState, now: LocalTime) {
     let problem = problem(state, now);
     let outcome = planner::plan(&problem);
@@ -45,15 +45,17 @@
     state.unplaced = outcome.unplaced;
 }
 
-/// Counts a load against the store's share; what a plan interval left unused
-/// may be made up for.
+/// Counts a model load against the weight store's rate.
+///
+/// Loads left unused during the last plan interval may be started later.
 fn count_load(state: &mut PlanState, now: LocalTime) {
     let interval = state.settings.plan_interval;
     let earliest = LocalTime::ORIGIN + now.since(LocalTime::ORIGIN + interval);
     state.next_load_at = state.next_load_at.max(earliest) + writing::load_interval(state);
 }
 
-/// Returns whether a load leaves the possible memory within the endpoint's.
+/// Returns whether the endpoint's memory suffices for a load on top of its possible
+/// memory.
 fn fits(state: &PlanState, endpoint: &EndpointId, action: &EndpointAction) -> bool {
     let Some((_, memory)) = action.loaded() else {
         return true;
@@ -68,7 +70,7 @@
         .is_some_and(|(report, possible)| possible + memory <= report.memory_mib)
 }
 
-/// Returns the loads that the store's rate allows now.
+/// Returns the number of model loads that the weight store's rate allows now.
 fn due_loads(state: &PlanState, now: LocalTime) -> u32 {
     let interval = writing::load_interval(state).micros().max(1);
     if now < state.next_load_at {
@@ -134,11 +136,12 @@
     milli as f64
 }
 
-/// Returns how many copies of a model this data centre must keep.
+/// Returns how many copies of a model this data centre must keep: zero or one.
 ///
-/// It may go without a copy as long as it can reach a data centre that has
-/// one ready and comes before it in the model's order. The first of those
-/// that have a copy therefore never lets go of it, whatever the others do.
+/// A resident model always needs one. Any other model needs none if a reachable
+/// data centre has it ready and either precedes this one in the model's rendezvous
+/// order or no endpoint here reports a copy. The first of the data centres that
+/// have a copy therefore never unloads its last one.
 pub(super) fn required_copies(state: &PlanState, model: &ModelId) -> u32 {
     let Some(spec) = state.catalogue.models.get(model) else {
         return 0;
@@ -151,7 +154,7 @@
     u32::from(spec.resident || !is_kept_elsewhere)
 }
 
-/// Returns whether any endpoint here reports a copy.
+/// Returns whether any endpoint of this data centre reports a copy, in any state.
 fn holds_copy(state: &PlanState, model: &ModelId) -> bool {
     state
         .endpoints
@@ -255,7 +258,7 @@
     adapters
 }
 
-/// Returns the loads that may start now within the weight store's share.
+/// Returns the number of loads that may start now within the weight store's share.
 fn budget(
     state: &PlanState,
     endpoints: &BTreeMap<EndpointId, EndpointView>,
@@ -290,7 +293,8 @@
     }
 }
 
-/// Returns whether another copy of a model certainly serves.
+/// Returns whether another copy of the same model is ready on a confirmed endpoint
+/// that reports regularly; never for an adapter.
 pub(super) fn has_other_ready_copy(
     state: &PlanState,
     endpoint: &EndpointId,
--- a/crates/clementinepond_decide/src/plan/platform_reply.rs
+++ b/crates/clementinepond_decide/src/plan/platform_reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform.
+//! Handling of the platform's replies to reads and writes of the plan object.
 
 use super::lease::{Acquiring, LeasePhase, PendingWrite, PlanLease};
 use super::{
@@ -8,7 +8,7 @@
 use crate::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::{LocalTime, ObjectVersion};
 
-/// Takes in the answer to a read.
+/// Handles the reply to a read.
 pub(super) fn read_replied(
     state: &mut PlanState,
     reply: ReadReply<PlanObject>,
@@ -22,7 +22,7 @@
     observe(state, version, value, now)
 }
 
-/// Takes in the answer to a conditional update.
+/// Handles the reply to a conditional update.
 pub(super) fn store_replied(
     state: &mut PlanState,
     write: WriteId,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Asks for the plan object.
+/// Returns the effect that reads the plan object.
 pub(super) fn read_effect(state: &PlanState) -> PlanEffect {
     PlanEffect::Read {
         data_centre: state.data_centre.clone(),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Takes in a version of the object, from whatever source.
+/// Handles a version of the object, from a read, a watch or a conflict.
 fn observe(
     state: &mut PlanState,
     version: ObjectVersion,
@@ -120,8 +120,8 @@
         return Vec::new();
     }
     if write.answer_lost && version == write.if_version {
-        // The same write again: whichever of both lands, it counts from the
-        // first send.
+        // The same write is sent again: whichever of the two is stored, the lease
+        // counts from the first send.
         return resend(state);
     }
     Vec::new()
@@ -140,7 +140,7 @@
         let is_not_stored = version == term.version;
         let is_lost = term.write.as_ref().is_some_and(|write| write.answer_lost);
         if is_not_stored && is_lost {
-            // It may still land; the next write has a number of its own.
+            // The write may still be stored; the next one has a number of its own.
             term.abandon_write();
         }
         return Vec::new();
@@ -157,7 +157,8 @@
     if expected == Some(renewals) {
         return complete_write(state, version, now);
     }
-    // An earlier write of this term landed late; the next one follows it.
+    // An earlier write of this term was stored late; the next one builds on its
+    // version.
     term.version = version;
     term.abandon_write();
     Vec::new()
@@ -176,7 +177,8 @@
     vec![effect]
 }
 
-/// The write under way has landed.
+/// Handles the pending write, now known to be stored: starts the term, extends the
+/// lease or ends a released one.
 fn complete_write(
     state: &mut PlanState,
     version: ObjectVersion,
@@ -205,7 +207,7 @@
     writing::issue_written(state, &write.object.orders, now)
 }
 
-/// Starts a term: everything known of the endpoints is doubted anew.
+/// Starts a term: the state of every endpoint must be confirmed again.
 fn acquire(
     state: &mut PlanState,
     lease: PlanLease<Acquiring>,
@@ -235,10 +237,11 @@
     }
     state.staged.clear();
     state.next_plan_at = now;
-    // The store's share may have been used up by the previous holder.
+    // The previous holder may have used up the weight store's share.
     state.next_load_at = now + writing::load_interval(state);
 }
 
+/// Reserves memory for an order that an earlier holder may have sent.
 fn inherit(state: &mut PlanState, intent: OrderIntent, effect_end: LocalTime) {
     let entry = state
         .endpoints
@@ -256,7 +259,7 @@
     );
 }
 
-/// Goes back to watching; nothing that waits is sent any more.
+/// Becomes a follower; staged orders are dropped.
 pub(super) fn step_down(
     state: &mut PlanState,
     version: ObjectVersion,
@@ -269,7 +272,7 @@
     clear_term(state);
 }
 
-/// Drops what only a holder may act on.
+/// Clears the state that only the lease holder may act on.
 pub(super) fn clear_term(state: &mut PlanState) {
     state.staged.clear();
     state.goals.clear();
--- a/crates/clementinepond_decide/src/plan/reduce.rs
+++ b/crates/clementinepond_decide/src/plan/reduce.rs
@@ -1,4 +1,4 @@
-//! From an event to effects.
+//! Event handler of placement.
 
 use super::{
     DemandForecast, EndpointEntry, EndpointReport, EndpointSpec, OrderNumber, OrderReply,
@@ -6,7 +6,7 @@
 };
 use clementinepond_types::{EndpointId, LocalTime};
 
-/// Takes in one event.
+/// Applies one event to the state and returns the resulting effects.
 pub fn reduce(state: &mut PlanState, event: PlanEvent, now: LocalTime) -> Vec<PlanEffect> {
     match event {
         PlanEvent::Tick { seed } => return periodic::tick(state, seed, now),
@@ -62,8 +62,10 @@
         .or_insert_with(|| EndpointEntry::new(spec));
 }
 
-/// Keeps the ledger of an endpoint that has gone, since it may come back
-/// while orders to it still travel.
+/// Marks an endpoint as gone.
+///
+/// Its ledger is kept, since the endpoint may return while orders to it are still
+/// in transit.
 fn remove_endpoint(state: &mut PlanState, endpoint: &EndpointId) {
     if let Some(entry) = state.endpoints.get_mut(endpoint) {
         entry.spec = None;
@@ -75,7 +77,8 @@
 
 fn apply_catalogue(state: &mut PlanState, catalogue: PlacementCatalogue) {
     for (adapter, spec) in &catalogue.adapters {
-        // The larger size counts until no copy of the smaller one is left.
+        // An adapter keeps the largest size seen, since copies of that size may
+        // still be loaded.
         let memory = state.adapter_memory.entry(adapter.clone()).or_default();
         *memory = (*memory).max(spec.memory_mib);
     }
@@ -85,7 +88,9 @@
     state.catalogue = catalogue;
 }
 
-/// An answer proves nothing about copies of the order that still travel.
+/// Ignores the reply, except in a test that removes this guard.
+///
+/// A reply does not prove that no copy of the order is still in transit.
 fn handle_order_reply(
     state: &mut PlanState,
     endpoint: &EndpointId,
--- a/crates/clementinepond_decide/src/plan/report.rs
+++ b/crates/clementinepond_decide/src/plan/report.rs
@@ -1,4 +1,4 @@
-//! Reports of endpoints, in the form in which engines send them.
+//! Reports of endpoints, in the form that engines send.
 
 use super::OrderNumber;
 use clementinepond_types::{AdapterId, EndpointId, FencingNumber, MemorySize, ModelId};
@@ -14,7 +14,7 @@
 #[from(Box<str>, &str)]
 pub struct ModelVersion(Box<str>);
 
-/// Identity of one run of an endpoint's process; only equality has a meaning.
+/// Identity of one run of an endpoint's process; values have no order in time.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(u64);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Number of a report within one incarnation.
+/// Number of a report; increases within one incarnation.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ReportNumber(u64);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Something that takes memory on an endpoint.
+/// Model version or adapter that takes memory on an endpoint.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord, SerializeDisplay)]
 pub enum HoldingKey {
     /// A model version.
@@ -67,55 +67,55 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
-    /// Weights are being read.
+    /// The weights are being loaded.
     Loading,
-    /// Requests are served.
+    /// The model serves requests.
     Ready,
-    /// Running requests end; no new ones start.
+    /// Running requests are finished and no new ones are accepted.
     Draining,
 }
 
-/// One model in a report.
+/// Model version listed in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelReport {
-    /// Model.
+    /// Model held.
     pub model: ModelId,
     /// Version of the weights.
     pub version: ModelVersion,
-    /// State.
+    /// Whether the model is loading, ready or draining.
     pub state: ModelState,
-    /// Memory taken.
+    /// Memory used.
     pub memory_mib: MemorySize,
 }
 
-/// One adapter in a report.
+/// Adapter listed in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterReport {
-    /// Adapter.
+    /// Adapter held.
     pub adapter: AdapterId,
-    /// Model that it extends.
+    /// Model that the adapter extends.
     pub model: ModelId,
 }
 
-/// What an endpoint says about itself; may lag.
+/// State of an endpoint as it reports it; may lag behind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// Endpoint.
+    /// Endpoint that sent the report.
     pub endpoint: EndpointId,
-    /// Run of the endpoint's process.
+    /// Identity of the run of the endpoint's process.
     pub incarnation: Incarnation,
     /// Number of the report.
     pub report_number: ReportNumber,
-    /// Number of the last order applied.
+    /// Number of the last order applied; zero for none.
     pub last_order: OrderNumber,
-    /// Accelerator memory of the endpoint.
+    /// Accelerator memory in total.
     pub memory_mib: MemorySize,
     /// Memory in use.
     pub used_mib: MemorySize,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint is shutting down.
     #[serde(default)]
     pub draining: bool,
-    /// Largest fencing number seen.
+    /// Largest fencing number that the endpoint has seen; zero for none.
     pub fencing_number: FencingNumber,
     /// Models held.
     #[serde(default)]
@@ -126,7 +126,7 @@
 }
 
 impl EndpointReport {
-    /// Returns whether the report lists something.
+    /// Returns whether the report lists the model version or adapter, in any state.
     #[must_use]
     pub fn lists(&self, key: &HoldingKey) -> bool {
         match key {
--- a/crates/clementinepond_decide/src/plan/settings.rs
+++ b/crates/clementinepond_decide/src/plan/settings.rs
@@ -1,26 +1,26 @@
-//! Settings of the placement part.
+//! Settings of placement.
 
 use super::planner::PlannerTuning;
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Guard that a test removes to show that it is needed.
+/// Guard that a test disables to show that it is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlanMutation {
-    /// Ends a reservation when the endpoint answers the order.
+    /// Ends a reservation when the endpoint replies to the order.
     ReleaseOnAck,
-    /// Ends a reservation on the first report after the deadline, without a barrier.
+    /// Ends a reservation once the order's window has ended, without a barrier.
     ReleaseWithoutBarrier,
-    /// Forgets resolved orders at once, though copies may still arrive.
+    /// Forgets completed orders at once, although copies of them may still arrive.
     ForgetCopies,
-    /// Orders without waiting for the orders of the previous holder to die out.
+    /// Sends orders while orders of the previous holder may still take effect.
     NoWaitOnTakeover,
-    /// Orders without reading the endpoint again after a takeover.
+    /// Sends orders after a takeover without a barrier to each endpoint.
     NoBarrierOnTakeover,
-    /// Ignores the previous holder's written orders.
+    /// Ignores the orders stored by the previous holder.
     ForgetInheritedOrders,
-    /// Sends orders before they are written down.
+    /// Sends orders before their intents are stored.
     SendBeforeIntent,
     /// Unloads before the replacement is ready.
     UnloadBeforeReady,
@@ -28,7 +28,7 @@
     LastCopyUnprotected,
     /// Sends orders without a deadline.
     OrdersWithoutDeadline,
-    /// Counts the lease from the answer to a write instead of from its send.
+    /// Counts the lease from the reply to a write instead of from its send.
     LeaseFromReply,
     /// Accepts reports that are older than the newest one.
     AcceptOldReports,
@@ -36,37 +36,40 @@
     IgnoreStoreShare,
 }
 
-/// Settings of the placement part.
+/// Settings of placement.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlanSettings {
     /// Length of the plan lease.
     pub lease: TimeSpan,
-    /// Drift bound of two clocks, in thousandths.
+    /// Bound of the drift between two clocks, in thousandths of the time measured.
     pub drift_milli: u32,
     /// Longest time from an order's send to its deadline.
     pub order_span: TimeSpan,
-    /// Longest time that an order may travel and act after its deadline.
+    /// Longest time after its deadline at which an order may still arrive and act.
     pub arrival_margin: TimeSpan,
-    /// Time between two reads of a candidate for the lease.
+    /// Time between two reads of the plan object by a candidate for the lease.
     pub candidate_read_interval: TimeSpan,
-    /// Time between two reads of any other VM.
+    /// Time between two reads of the plan object by any other VM.
     pub observer_read_interval: TimeSpan,
-    /// Number of VMs that read as candidates; any VM may take a free lease.
+    /// Number of VMs that read at the candidates' interval; any VM may acquire a free
+    /// lease.
     pub candidates: u32,
-    /// Time that a VM leaves to each one that comes before it.
+    /// Time that a VM waits before acquiring a free lease, for each VM that ranks
+    /// before it.
     pub candidate_stagger: TimeSpan,
-    /// Time between two plans.
+    /// Time between two runs of the planner.
     pub plan_interval: TimeSpan,
-    /// Smallest time between two writes of the plan object.
+    /// Shortest time between two writes of the plan object for orders; also the time
+    /// between two reads after a lost reply.
     pub write_interval: TimeSpan,
     /// Time from the withdrawal of a copy from routing to its unload.
     pub drain: TimeSpan,
     /// Age at which a report no longer proves that a copy serves.
     pub report_timeout: TimeSpan,
-    /// Weights of the planner.
+    /// Weights and limits of the planner.
     pub tuning: PlannerTuning,
-    /// Guards to remove in a test.
+    /// Guards that a test disables.
     #[serde(skip)]
     pub mutations: BTreeSet<PlanMutation>,
 }
@@ -93,19 +96,19 @@
 }
 
 impl PlanSettings {
-    /// Returns whether a guard is removed.
+    /// Returns whether a test disables the guard.
     #[must_use]
     pub fn mutated(&self, mutation: PlanMutation) -> bool {
         self.mutations.contains(&mutation)
     }
 
-    /// Returns the shortest time that another clock may show for a span.
+    /// Returns the time less the clock drift.
     #[must_use]
     pub fn shortened(&self, span: TimeSpan) -> TimeSpan {
         span.saturating_sub(span.fraction(u64::from(self.drift_milli), 1_000))
     }
 
-    /// Returns the longest time that another clock may show for a span.
+    /// Returns the time plus twice the clock drift.
     #[must_use]
     pub fn lengthened(&self, span: TimeSpan) -> TimeSpan {
         let drift = span.fraction(u64::from(self.drift_milli), 1_000);
--- a/crates/clementinepond_decide/src/plan/state.rs
+++ b/crates/clementinepond_decide/src/plan/state.rs
@@ -1,4 +1,4 @@
-//! What placement remembers.
+//! State of placement on one VM.
 
 use super::lease::{LeasePhase, PlanLease};
 use super::planner::UnplacedItem;
@@ -11,10 +11,10 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Moves that the status keeps.
+/// Most recent moves kept for the status.
 const MAX_RECENT_MOVES: usize = 64;
 
-/// Order that waits for its intent to be written.
+/// Order that waits until its intent is stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StagedOrder {
     pub(super) endpoint: EndpointId,
@@ -23,7 +23,7 @@
     pub(super) reason: Box<str>,
 }
 
-/// What placement remembers.
+/// State of placement on one VM.
 #[derive(Debug)]
 pub struct PlanState {
     pub(super) settings: PlanSettings,
@@ -50,7 +50,7 @@
 }
 
 impl PlanState {
-    /// Starts as a follower without knowledge.
+    /// Creates the state of a follower that has seen no plan object yet.
     #[must_use]
     pub fn new(settings: PlanSettings, vm: VmId, data_centre: DataCentreId) -> Self {
         Self {
@@ -78,19 +78,22 @@
         }
     }
 
-    /// Returns the state of the lease.
+    /// Returns this VM's phase in the life cycle of the lease.
     #[must_use]
     pub const fn phase(&self) -> &LeasePhase {
         &self.phase
     }
 
-    /// Returns whether this VM may give orders now.
+    /// Returns whether this VM holds the lease and its deadline has not passed.
+    ///
+    /// Orders are sent only in the phase [`LeasePhase::Holding`].
     #[must_use]
     pub fn holds(&self, now: LocalTime) -> bool {
         self.phase.term().is_some_and(|term| now < term.deadline)
     }
 
-    /// Returns the VM that was last known to hold the lease.
+    /// Returns the last known lease holder; none if unknown, released or while this
+    /// VM is acquiring the lease.
     #[must_use]
     pub fn holder(&self) -> Option<&VmId> {
         match &self.phase {
@@ -104,25 +107,26 @@
         }
     }
 
-    /// Returns what is known of each endpoint.
+    /// Returns the known state of each endpoint.
     #[must_use]
     pub const fn endpoints(&self) -> &BTreeMap<EndpointId, EndpointEntry> {
         &self.endpoints
     }
 
-    /// Returns what could not be placed.
+    /// Returns the models and adapters that could not be placed.
     #[must_use]
     pub fn unplaced(&self) -> &[UnplacedItem] {
         &self.unplaced
     }
 
-    /// Returns what the plan works towards.
+    /// Returns the loads that wait for free memory or for the weight store.
     #[must_use]
     pub fn goals(&self) -> &[PlacementGoal] {
         &self.goals
     }
 
-    /// Returns the memory that may be in use on an endpoint.
+    /// Returns the upper bound of the memory in use on an endpoint; none without a
+    /// report.
     #[must_use]
     pub fn possible_memory(&self, endpoint: &EndpointId) -> Option<MemorySize> {
         let entry = self.endpoints.get(endpoint)?;
--- a/crates/clementinepond_decide/src/plan/status.rs
+++ b/crates/clementinepond_decide/src/plan/status.rs
@@ -1,4 +1,4 @@
-//! The plan as operators and routing see it.
+//! Plan as published to operators and to routing.
 
 use super::planner::UnplacedItem;
 use super::{EndpointAction, HoldingKey, OrderNumber, PlacementGoal, PlanEffect, PlanState};
@@ -9,51 +9,52 @@
 /// Order that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PendingOrder {
-    /// Endpoint.
+    /// Endpoint that receives the order.
     pub endpoint: EndpointId,
     /// Number of the order.
     pub number: OrderNumber,
-    /// What it asks for.
+    /// Load, unload or role change to carry out.
     pub action: EndpointAction,
-    /// Why it is given.
+    /// Reason, for operators.
     pub reason: Box<str>,
 }
 
-/// Move that was ordered lately.
+/// Recently ordered move.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RecentMove {
-    /// Moment of the order on this VM's clock.
+    /// Time of the order on this VM's clock.
     pub at: LocalTime,
-    /// Endpoint.
+    /// Endpoint that received the order.
     pub endpoint: EndpointId,
-    /// What was asked for.
+    /// Load or unload ordered.
     pub action: EndpointAction,
-    /// Why.
+    /// Reason, for operators.
     pub reason: Box<str>,
 }
 
-/// The plan as operators and routing see it.
+/// Plan as published to operators and to routing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PlanStatus {
-    /// State of the lease on this VM.
+    /// Phase of the lease on this VM.
     pub phase: &'static str,
-    /// Fencing number of this VM's orders.
+    /// Fencing number of this VM's orders; none unless it holds the lease.
     pub fencing: Option<FencingNumber>,
     /// Orders that may still take effect.
     pub pending: Vec<PendingOrder>,
-    /// Latest moves, the newest last.
+    /// Recent moves, the newest last; at most 64.
     pub recent: Vec<RecentMove>,
-    /// Copies that routing must no longer choose.
+    /// Copies that routing must not choose any more, by endpoint.
     pub withdrawn: BTreeMap<EndpointId, BTreeSet<HoldingKey>>,
-    /// Endpoints whose state is not proved yet.
+    /// Endpoints whose state no report has confirmed yet; empty unless this VM holds
+    /// the lease.
     pub unsettled: BTreeSet<EndpointId>,
-    /// What the plan works towards once room and the weight store allow it.
+    /// Loads that wait for free memory or for the weight store.
     pub goals: Vec<PlacementGoal>,
-    /// What could not be placed, and why.
+    /// Models and adapters that could not be placed, with the reason.
     pub unplaced: Vec<UnplacedItem>,
 }
 
-/// Publishes the plan when it has changed.
+/// Publishes the plan if it has changed.
 pub(super) fn publish(state: &mut PlanState, effects: &mut Vec<PlanEffect>) {
     let status = build(state);
     if state.published.as_ref() == Some(&status) {
--- a/crates/clementinepond_decide/src/plan/writing.rs
+++ b/crates/clementinepond_decide/src/plan/writing.rs
@@ -1,4 +1,5 @@
-//! Intents and orders: what is written before it is sent.
+//! Staging, storing and sending of orders: an order's intent is stored before the
+//! order is sent.
 
 use super::lease::{LeasePhase, PendingWrite};
 use super::state::StagedOrder;
@@ -8,27 +9,27 @@
 };
 use clementinepond_types::{EndpointId, FencingNumber, LocalTime, TimeSpan};
 
-/// Part of the lease after which it is renewed.
+/// Number of renewals that fit into one lease.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// Goals that the object keeps for the next holder's operators.
+/// Most goals stored in the object, for operators to see after a takeover.
 const MAX_STORED_GOALS: usize = 16;
 
-/// Returns the time between two model loads of this data centre.
+/// Returns the time between two model loads at this data centre's rate.
 pub(super) fn load_interval(state: &PlanState) -> TimeSpan {
     let hourly = u64::from(state.catalogue.share.loads_an_hour.max(1));
     TimeSpan::from_secs(3_600).fraction(1, hourly)
 }
 
-/// Returns whether orders may go to an endpoint in this phase.
+/// Returns whether orders may be sent to an endpoint in this phase.
 ///
-/// Endpoints that check fencing wait as the others do: one that restarts
-/// forgets the largest fencing number it has seen.
+/// Orders wait for the phase `Holding` also if the endpoint checks fencing numbers,
+/// since an endpoint that restarts forgets the largest one it has seen.
 pub(super) fn may_order(phase: &LeasePhase, entry: &EndpointEntry) -> bool {
     entry.spec.is_some() && matches!(phase, LeasePhase::Holding(_))
 }
 
-/// Reserves for an order, which waits until its intent is written.
+/// Adds an order to the endpoint's ledger and queues it until its intent is stored.
 pub(super) fn stage(
     state: &mut PlanState,
     endpoint: &EndpointId,
@@ -56,7 +57,8 @@
     });
 }
 
-/// Writes the object when orders wait or the lease is due.
+/// Writes the object if orders are staged, the lease is due for renewal or a release
+/// is under way.
 pub(super) fn write_if_due(state: &mut PlanState, now: LocalTime, effects: &mut Vec<PlanEffect>) {
     if state.settings.mutated(PlanMutation::SendBeforeIntent) {
         let staged = std::mem::take(&mut state.staged);
@@ -77,7 +79,7 @@
     }
 }
 
-/// Writes the object, unless a write is under way.
+/// Writes the object, unless a write is pending or the lease has expired.
 pub(super) fn write(state: &mut PlanState, now: LocalTime) -> Option<PlanEffect> {
     let orders = intents(state);
     let term = state.phase.term_mut()?;
@@ -112,7 +114,7 @@
     })
 }
 
-/// Returns every order that may still take effect or waits to be sent.
+/// Returns the intents of every order that may still take effect or is staged.
 fn intents(state: &PlanState) -> Vec<OrderIntent> {
     state
         .endpoints
@@ -128,7 +130,7 @@
         .collect()
 }
 
-/// Sends the staged orders whose intents are written.
+/// Sends the staged orders whose intents are stored.
 pub(super) fn issue_written(
     state: &mut PlanState,
     written: &[OrderIntent],
@@ -163,10 +165,11 @@
     })
 }
 
-/// Returns the fencing number and the deadline of an order that leaves now.
+/// Returns the fencing number and the deadline of an order sent now; none if no
+/// order may be sent.
 fn authority(state: &PlanState, now: LocalTime) -> Option<(FencingNumber, LocalTime)> {
     let term = state.phase.term()?;
-    // A release may have landed although its answer has not come yet.
+    // A release may already be stored although its reply has not arrived.
     if now >= term.deadline || state.releasing {
         return None;
     }
@@ -177,13 +180,13 @@
     Some((term.fencing, deadline))
 }
 
-/// Returns the moment after which an order that leaves now cannot act.
+/// Returns the time after which an order sent now cannot take effect.
 fn window_end(state: &PlanState, now: LocalTime) -> LocalTime {
     let span = state.settings.order_span + state.settings.arrival_margin;
     now + state.settings.lengthened(span)
 }
 
-/// Sends barriers to endpoints whose state must be proved.
+/// Sends barriers to endpoints whose state or orders must be confirmed by a report.
 pub(super) fn send_barriers(state: &mut PlanState, now: LocalTime, effects: &mut Vec<PlanEffect>) {
     let Some((fencing, deadline)) = authority(state, now) else {
         return;
--- a/crates/clementinepond_decide/tests/plan_planner.rs
+++ b/crates/clementinepond_decide/tests/plan_planner.rs
@@ -1,4 +1,4 @@
-//! The planner, as a pure function.
+//! Tests of the planner as a pure function.
 
 #![expect(
     clippy::unwrap_used,
@@ -23,7 +23,7 @@
     text.parse().unwrap()
 }
 
-/// A fleet under construction; every endpoint has one accelerator.
+/// Builder of a planner problem; every endpoint has one accelerator.
 struct Fleet {
     problem: PlanProblem,
 }
@@ -103,7 +103,8 @@
         plan(&self.problem)
     }
 
-    /// Carries out the moves of a plan at once: unloads leave, loads serve.
+    /// Applies the moves of a plan at once, so that every load is ready; returns
+    /// the moves.
     fn apply_plan(&mut self) -> Vec<String> {
         let outcome = self.plan();
         let lines = describe(&outcome.moves);
@@ -122,7 +123,10 @@
                 });
             }
             view.possible = view.holdings.iter().map(|holding| holding.memory).sum();
-            assert!(view.possible <= view.memory, "overcommitted");
+            assert!(
+                view.possible <= view.memory,
+                "endpoint memory is overcommitted"
+            );
         }
         lines
     }
@@ -147,7 +151,7 @@
                 EndpointAction::UnloadModel { model, .. } => ("-", model.to_string()),
                 EndpointAction::LoadAdapter { adapter, .. } => ("+", adapter.to_string()),
                 EndpointAction::UnloadAdapter { adapter } => ("-", adapter.to_string()),
-                EndpointAction::SetRole { .. } => panic!("the planner sets no role"),
+                EndpointAction::SetRole { .. } => panic!("the planner returned a SetRole action"),
             };
             format!("{sign}{what}@{}", planned.endpoint)
         })
@@ -155,7 +159,7 @@
 }
 
 #[test]
-fn every_model_gets_a_copy_and_nothing_is_moved_again() {
+fn every_model_gets_one_copy_and_stays() {
     let mut fleet = Fleet::new()
         .endpoint("r1", 100, &[])
         .endpoint("r2", 100, &[])
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn load_beyond_one_copy_brings_another() {
+fn load_above_one_copy_adds_a_copy() {
     let fleet = Fleet::new()
         .endpoint("r1", 100, &[("a", 60)])
         .endpoint("r2", 100, &[])
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn small_gain_is_not_worth_a_load() {
+fn small_gain_adds_no_copy() {
     let fleet = Fleet::new()
         .endpoint("r1", 100, &[("a", 60)])
         .endpoint("r2", 100, &[])
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn last_copy_makes_no_room_for_a_busy_model() {
+fn last_copy_is_not_unloaded_for_busy_model() {
     let tight = Fleet::new()
         .endpoint("r1", 100, &[("a", 60)])
         .endpoint("r2", 100, &[("idle", 60)])
@@ -199,7 +203,7 @@
 }
 
 #[test]
-fn surplus_copy_makes_room_and_the_load_waits_for_it() {
+fn surplus_copy_is_unloaded_before_load() {
     let fleet = Fleet::new()
         .endpoint("r1", 100, &[("a", 60)])
         .endpoint("r2", 100, &[("idle", 60)])
@@ -207,15 +211,19 @@
         .model("a", 60, 1_500.0)
         .model("idle", 60, 0.0);
     let outcome = fleet.plan();
-    assert_eq!(outcome.moves.len(), 1, "one copy of the idle model leaves");
+    assert_eq!(
+        outcome.moves.len(),
+        1,
+        "expected one unload of the idle model and no load"
+    );
     assert!(outcome.moves[0].action.unloaded().is_some());
     assert_eq!(describe(&outcome.goals).len(), 1);
     assert!(describe(&outcome.goals)[0].starts_with("+a@"));
 }
 
 #[test]
-fn stepping_stone_frees_a_tight_endpoint() {
-    // The large model fits only on r1, whose small model must go to r2 first.
+fn relocation_frees_endpoint_for_large_model() {
+    // The large model fits only on r1, so the small model must be relocated to r2.
     let mut fleet = Fleet::new()
         .endpoint("r1", 100, &[("small", 40)])
         .endpoint("r2", 50, &[])
@@ -228,7 +236,7 @@
 }
 
 #[test]
-fn without_a_stepping_stone_the_reason_is_told() {
+fn model_without_relocation_target_is_unplaced() {
     let fleet = Fleet::new()
         .endpoint("r1", 100, &[("small", 40)])
         .model("large", 90, 0.0)
@@ -248,7 +256,7 @@
 }
 
 #[test]
-fn version_changes_without_a_gap() {
+fn version_change_keeps_a_copy() {
     let mut fleet = Fleet::new()
         .endpoint("r1", 100, &[("a", 60)])
         .endpoint("r2", 100, &[("a", 60)])
@@ -270,7 +278,7 @@
 }
 
 #[test]
-fn exceptions_pin_and_forbid() {
+fn pin_places_and_forbid_unloads_copy() {
     let endpoint: EndpointId = name("r2");
     let pin = ExceptionRule::Pin {
         endpoint: endpoint.clone(),
@@ -293,7 +301,7 @@
 }
 
 #[test]
-fn smallest_number_of_copies_is_kept() {
+fn minimum_replicas_are_placed() {
     let mut fleet = Fleet::new()
         .endpoint("r1", 100, &[])
         .endpoint("r2", 100, &[])
@@ -304,7 +312,7 @@
 }
 
 #[test]
-fn copy_is_placed_where_its_adapters_fit_too() {
+fn copy_is_placed_where_adapters_fit() {
     let mut fleet = Fleet::new()
         .endpoint("r1", 65, &[])
         .endpoint("r2", 80, &[])
@@ -333,7 +341,7 @@
 }
 
 #[test]
-fn endpoint_that_takes_no_orders_is_left_alone() {
+fn endpoint_without_orders_is_unchanged() {
     let mut fleet = Fleet::new().endpoint("r1", 100, &[]).model("a", 60, 0.0);
     let endpoint: EndpointId = name("r1");
     fleet
--- a/crates/clementinepond_decide/tests/plan_reducer/harness.rs
+++ b/crates/clementinepond_decide/tests/plan_reducer/harness.rs
@@ -1,4 +1,4 @@
-//! One VM, one endpoint and the answers that a test gives by hand.
+//! Harness for the plan reducer: one VM, one endpoint and scripted replies.
 
 use clementinepond_decide::plan::{
     ComputeLoad, EndpointAction, EndpointReport, EndpointRole, EndpointSpec, Incarnation,
@@ -26,7 +26,9 @@
     LocalTime::from_micros(millis * 1_000)
 }
 
-/// One VM, one endpoint of 100 MiB and models of 60 MiB.
+/// Plan state of one VM with one endpoint of 100 MiB and models of 60 MiB.
+///
+/// `now` is in milliseconds.
 pub(crate) struct PlanHarness {
     pub(crate) state: PlanState,
     pub(crate) version: u64,
@@ -115,7 +117,7 @@
         self.send(PlanEvent::ReadReplied { reply });
     }
 
-    /// Answers the last write as stored.
+    /// Replies to the last write that it was stored.
     pub(crate) fn stored(&mut self) -> Vec<PlanEffect> {
         self.version += 1;
         let write = self.written.as_ref().unwrap().write_id();
@@ -156,14 +158,14 @@
         self.state.possible_memory(&endpoint).unwrap().get()
     }
 
-    /// Takes the lease of a platform without a plan object, and proves the
+    /// Acquires the lease on a platform without a plan object and confirms the
     /// endpoint's state.
     pub(crate) fn hold(&mut self) {
         self.report(OrderNumber::default(), &[]);
         self.tick(0);
         self.read(None);
         self.acquire();
-        self.settle(&[]);
+        self.confirm(&[]);
     }
 
     pub(crate) fn acquire(&mut self) {
@@ -173,13 +175,15 @@
         self.stored();
     }
 
-    /// Ticks until the barrier is sent, and reports it as applied.
-    pub(crate) fn settle(&mut self, models: &[(&str, ModelState)]) {
+    /// Ticks until a barrier is sent and reports it as applied.
+    pub(crate) fn confirm(&mut self, models: &[(&str, ModelState)]) {
         let barrier = self.next_order("set_role");
         self.report(barrier, models);
     }
 
-    /// Ticks until an order of a kind leaves; writes are answered at once.
+    /// Ticks until an order of the given kind is sent, and returns its number.
+    ///
+    /// Writes are stored at once. Panics after 60 s without such an order.
     pub(crate) fn next_order(&mut self, kind: &str) -> OrderNumber {
         for _ in 0..600 {
             let mut effects = self.tick(100);
@@ -194,7 +198,7 @@
                 }
             }
         }
-        panic!("no {kind} order in a minute");
+        panic!("no {kind} order within 60 s");
     }
 }
 
@@ -223,7 +227,7 @@
     }
 }
 
-/// Plan object of another VM with one load that may still take effect.
+/// Returns a plan object of another VM with one load that may still take effect.
 pub(crate) fn foreign_object() -> PlanObject {
     PlanObject {
         holder: Some(name::<VmId>("vm-2")),
--- a/crates/clementinepond_decide/tests/plan_reducer/main.rs
+++ b/crates/clementinepond_decide/tests/plan_reducer/main.rs
@@ -1,4 +1,4 @@
-//! The plan reducer, driven by hand: lease, ledger, orders.
+//! Tests of the plan reducer with scripted replies: lease, ledger and orders.
 
 #![expect(
     clippy::unwrap_used,
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
-fn order_leaves_only_after_its_intent_is_stored() {
+fn order_is_sent_after_intent_is_stored() {
     let sent_before = |mutations: &[PlanMutation]| {
         let mut harness = PlanHarness::new(mutations, &["a"]);
         harness.hold();
@@ -34,14 +34,14 @@
                 harness.stored();
             }
         }
-        panic!("no load in ten seconds");
+        panic!("no load order or intent within 10 s");
     };
     assert!(!sent_before(&[]));
     assert!(sent_before(&[PlanMutation::SendBeforeIntent]));
 }
 
 #[test]
-fn reservation_survives_acknowledgement_and_silence() {
+fn reservation_outlives_reply_and_window() {
     let held_after = |mutations: &[PlanMutation]| {
         let mut harness = PlanHarness::new(mutations, &["a"]);
         harness.hold();
@@ -67,18 +67,22 @@
 }
 
 #[test]
-fn reservation_ends_by_a_report_after_the_barrier() {
+fn report_of_barrier_ends_reservation() {
     let mut harness = PlanHarness::new(&[], &["a"]);
     harness.hold();
     let number = harness.next_order("load_model");
     harness.report(number, &[]);
-    assert_eq!(harness.possible(), 60, "the order may still arrive");
+    assert_eq!(
+        harness.possible(),
+        60,
+        "memory must stay reserved while the order may still arrive"
+    );
     harness.tick(4_000);
     harness.report(number, &[]);
     assert_eq!(
         harness.possible(),
         60,
-        "the report may be from before the arrival"
+        "memory must stay reserved, as the report may be from before the arrival"
     );
     let barrier = harness.next_order("set_role");
     harness.report(barrier, &[]);
@@ -86,7 +90,7 @@
 }
 
 #[test]
-fn copy_of_a_finished_order_may_act_after_a_restart() {
+fn completed_order_stays_reserved_after_restart() {
     let possible_after = |mutations: &[PlanMutation]| {
         let mut harness = PlanHarness::new(mutations, &["a"]);
         harness.hold();
@@ -101,19 +105,19 @@
 }
 
 #[test]
-fn restart_is_doubted_until_a_barrier_proves_it() {
+fn restarted_endpoint_is_confirmed_by_barrier() {
     let mut harness = PlanHarness::new(&[], &["a"]);
     harness.hold();
     harness.incarnation = 2;
     harness.report(OrderNumber::default(), &[]);
     let runner: EndpointId = name("runner-1");
     assert!(!harness.state.endpoints()[&runner].confirmed);
-    harness.settle(&[]);
+    harness.confirm(&[]);
     assert!(harness.state.endpoints()[&runner].confirmed);
 }
 
 #[test]
-fn old_report_changes_nothing() {
+fn old_report_is_ignored() {
     let possible_after = |mutations: &[PlanMutation]| {
         let mut harness = PlanHarness::new(mutations, &["a"]);
         harness.hold();
@@ -129,33 +133,37 @@
     assert_eq!(possible_after(&[PlanMutation::AcceptOldReports]), 0);
 }
 
-/// Takes over from another VM while the endpoint's reports lag behind its
-/// last order; returns the possible memory before the first barrier's report.
+/// Acquires the lease after another VM while the endpoint's reports lag behind its
+/// last order; returns the harness and the time, in milliseconds, at which the
+/// other VM's object was seen.
 fn take_over(mutations: &[PlanMutation]) -> (PlanHarness, u64) {
     let mut harness = PlanHarness::new(mutations, &["a", "b"]);
     harness.version = 9;
     harness.report(OrderNumber::default(), &[]);
     harness.read(Some(foreign_object()));
-    let seen_at = harness.now;
+    let first_seen_at = harness.now;
     harness.acquire();
-    assert!(harness.now - seen_at >= 15_000, "the lease was not over");
-    (harness, seen_at)
+    assert!(
+        harness.now - first_seen_at >= 15_000,
+        "the lease was acquired before the other VM's lease ended"
+    );
+    (harness, first_seen_at)
 }
 
 #[test]
-fn takeover_waits_for_the_last_order_of_the_old_holder() {
+fn takeover_waits_for_orders_of_previous_holder() {
     let first_order_after = |mutations: &[PlanMutation]| {
-        let (mut harness, seen_at) = take_over(mutations);
+        let (mut harness, first_seen_at) = take_over(mutations);
         harness.next_order("set_role");
-        harness.now - seen_at
+        harness.now - first_seen_at
     };
-    // The old holder's lease, and the margin in which its orders arrive.
+    // The previous holder's lease of 15 s and the arrival margin of 1 s.
     assert!(first_order_after(&[]) > 16_000);
     assert!(first_order_after(&[PlanMutation::NoWaitOnTakeover]) < 16_000);
 }
 
 #[test]
-fn takeover_needs_the_barrier_or_the_inherited_orders() {
+fn takeover_loads_nothing_without_barrier_report() {
     let loads_before_barrier = |mutations: &[PlanMutation]| {
         let (mut harness, _) = take_over(mutations);
         let mut found = 0;
@@ -178,7 +186,7 @@
 }
 
 #[test]
-fn lease_counts_from_the_send_of_the_write() {
+fn lease_counts_from_send_of_write() {
     let holds_after_late_answer = |mutations: &[PlanMutation]| {
         let mut harness = PlanHarness::new(mutations, &["a"]);
         harness.hold();
@@ -192,12 +200,12 @@
 }
 
 #[test]
-fn orders_carry_a_deadline_within_the_lease() {
+fn order_deadline_is_within_lease() {
     let deadlines = |mutations: &[PlanMutation]| {
         let mut harness = PlanHarness::new(mutations, &["a"]);
         harness.hold();
         let term = harness.state.phase().term().unwrap().clone();
-        // Renewals fail from now on; the last orders end with the lease.
+        // Writes get no reply from now on, so the lease is not renewed.
         let mut found = Vec::new();
         for _ in 0..200 {
             for effect in harness.tick(100) {
@@ -218,7 +226,7 @@
 }
 
 #[test]
-fn lost_answer_is_recognised_by_reading_again() {
+fn lost_write_reply_is_resolved_by_read() {
     let mut harness = PlanHarness::new(&[], &["a"]);
     harness.report(OrderNumber::default(), &[]);
     harness.tick(0);
@@ -241,7 +249,7 @@
 }
 
 #[test]
-fn release_sends_nothing_more() {
+fn released_lease_sends_no_orders() {
     let mut harness = PlanHarness::new(&[], &["a"]);
     harness.hold();
     let effects = harness.send(PlanEvent::Release);
@@ -257,7 +265,7 @@
 }
 
 #[test]
-fn platform_away_ends_the_term_and_new_plans() {
+fn unavailable_platform_ends_term_and_loads() {
     let mut harness = PlanHarness::new(&[], &["a"]);
     harness.hold();
     harness.tick(16_000);
@@ -272,7 +280,7 @@
 }
 
 #[test]
-fn unload_is_drained_and_its_copy_withdrawn_from_routing() {
+fn copy_is_withdrawn_and_drained_before_unload() {
     let mut harness = PlanHarness::new(&[], &["a"]);
     harness.hold();
     let number = harness.next_order("load_model");
@@ -299,13 +307,13 @@
                 withdrawn = Some(status.withdrawn);
             }
         }
-        assert!(harness.now < 120_000, "no unload in two minutes");
+        assert!(harness.now < 120_000, "no unload order within 120 s");
     }
     let key = HoldingKey::Model(name::<ModelId>("a"), ModelVersion::from("v1"));
     let runner: EndpointId = name("runner-1");
     assert_eq!(withdrawn.unwrap()[&runner], BTreeSet::from([key]));
     assert!(
         harness.now - withdrawn_at >= 5_000,
-        "the drain was cut short"
+        "the copy was unloaded before the drain time of 5 s"
     );
 }
