--- a/crates/clementinepond_decide/src/plan/planner/draft.rs
+++ b/crates/clementinepond_decide/src/plan/planner/draft.rs
@@ -20,7 +20,7 @@
     pub(super) load: f64,
 }
 
-/// Endpoint in the draft.
+/// Endpoint in the draft; its index in the draft is its slot number.
 ///
 /// Memory is in MiB, capacity in thousandths of an accelerator.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     pub(super) id: &'a EndpointId,
     pub(super) accepting: bool,
     pub(super) memory: u64,
-    /// Memory that is free even if every pending load takes effect.
+    /// Memory that is free even if every pending and planned load takes effect.
     pub(super) free: u64,
     /// Memory that is free once all leaving copies are unloaded and all planned
     /// loads are done.
@@ -235,7 +235,7 @@
         entry.need.memory.get() + adapters
     }
 
-    pub(super) fn unplaced(&mut self, model: usize, reason: UnplacedReason) {
+    pub(super) fn record_unplaced(&mut self, model: usize, reason: UnplacedReason) {
         self.outcome.unplaced.push(UnplacedItem {
             model: Some(self.models[model].id.clone()),
             adapter: None,
--- a/crates/clementinepond_decide/src/plan/planner/stages.rs
+++ b/crates/clementinepond_decide/src/plan/planner/stages.rs
@@ -84,7 +84,7 @@
     if let Some(option) = draft.option_at(model, slot) {
         apply_option(draft, model, option, MoveReason::Exception(reason));
     } else {
-        draft.unplaced(model, UnplacedReason::NoRoom);
+        draft.record_unplaced(model, UnplacedReason::NoRoom);
     }
 }
 
@@ -99,8 +99,8 @@
     if draft.relocate_for(model) {
         return true;
     }
-    let why = unplaced_reason(draft, model);
-    draft.unplaced(model, why);
+    let reason = unplaced_reason(draft, model);
+    draft.record_unplaced(model, reason);
     false
 }
 
@@ -150,7 +150,7 @@
         if current < wanted && !place_on_same_endpoint(draft, model) {
             place_one(draft, model, MoveReason::Version);
         }
-        unload_earlier_versions(draft, model, wanted);
+        unload_old_versions(draft, model, wanted);
     }
 }
 
@@ -178,8 +178,8 @@
     slot.is_some()
 }
 
-fn unload_earlier_versions(draft: &mut DraftPlacement<'_>, model: usize, wanted: usize) {
-    let earlier: Vec<usize> = old_copies(draft, model).collect();
+fn unload_old_versions(draft: &mut DraftPlacement<'_>, model: usize, wanted: usize) {
+    let old: Vec<usize> = old_copies(draft, model).collect();
     let ready = draft.models[model]
         .copies
         .iter()
@@ -189,8 +189,8 @@
     if ready == 0 && !unprotected {
         return;
     }
-    let spare = (ready + earlier.len()).saturating_sub(wanted);
-    for copy in earlier.into_iter().take(spare.max(1)) {
+    let spare = (ready + old.len()).saturating_sub(wanted);
+    for copy in old.into_iter().take(spare.max(1)) {
         if draft.removable(model, copy) {
             draft.remove(model, copy, MoveReason::Version);
         }
@@ -240,10 +240,10 @@
         rank(right).total_cmp(&rank(left))
     });
     for &model in &underserved {
-        consider(draft, model, best_free_slot(draft, model), &mut best);
+        keep_if_better(draft, model, best_free_slot(draft, model), &mut best);
     }
     for &model in underserved.iter().take(MAX_REPLACEMENT_MODELS) {
-        consider(draft, model, best_replacement(draft, model), &mut best);
+        keep_if_better(draft, model, best_replacement(draft, model), &mut best);
     }
     best.map(|(_, model, option)| {
         let gain = round_load(gain_at(draft, model, option.slot));
@@ -264,7 +264,7 @@
 ///
 /// The gain less the loss must reach a share of what a copy can carry, larger for
 /// each unload, and the gain must exceed the loss by a set factor.
-fn consider(
+fn keep_if_better(
     draft: &DraftPlacement<'_>,
     model: usize,
     option: Option<PlacementOption>,
@@ -284,7 +284,7 @@
     if net < cost || net + option.removal_loss < over_loss {
         return;
     }
-    if best.as_ref().is_none_or(|(held, ..)| net > *held) {
+    if best.as_ref().is_none_or(|(best_net, ..)| net > *best_net) {
         *best = Some((net, model, option));
     }
 }
@@ -318,7 +318,7 @@
     let mut best: Option<(f64, PlacementOption)> = None;
     for slot in 0..draft.slots.len() {
         let gain = gain_at(draft, model, slot) * weight;
-        let cannot_improve = best.as_ref().is_some_and(|(held, _)| gain <= *held);
+        let cannot_improve = best.as_ref().is_some_and(|(best_net, _)| gain <= *best_net);
         if gain <= 0.0 || cannot_improve || !draft.may_place(model, slot) {
             continue;
         }
@@ -326,7 +326,7 @@
             continue;
         };
         let net = gain - option.removal_loss;
-        if best.as_ref().is_none_or(|(held, _)| net > *held) {
+        if best.as_ref().is_none_or(|(best_net, _)| net > *best_net) {
             best = Some((net, option));
         }
     }
