--- a/crates/clementinepond_decide/src/plan/planner/placement_option.rs
+++ b/crates/clementinepond_decide/src/plan/planner/placement_option.rs
@@ -160,7 +160,7 @@
             };
             if best
                 .as_ref()
-                .is_none_or(|held| self.is_better(&option, held))
+                .is_none_or(|best| self.is_better(&option, best))
             {
                 best = Some(option);
             }
@@ -168,7 +168,7 @@
         best
     }
 
-    fn is_better(&self, option: &PlacementOption, held: &PlacementOption) -> bool {
+    fn is_better(&self, option: &PlacementOption, best: &PlacementOption) -> bool {
         let rank = |option: &PlacementOption| {
             let slot = &self.slots[option.slot];
             let wait = u32::from(option.removed.is_empty() && slot.free < slot.free_after_unloads);
@@ -179,6 +179,6 @@
                 -slot.remaining_capacity,
             )
         };
-        rank(option) < rank(held)
+        rank(option) < rank(best)
     }
 }
