--- a/crates/clementinepond_decide/src/plan/planner/mod.rs
+++ b/crates/clementinepond_decide/src/plan/planner/mod.rs
@@ -1,19 +1,19 @@
 //! The planner: a pure function from the view of all endpoints to moves.
 //!
-//! It starts from the placement as it is, with everything in transit, and
-//! improves it by single copies, the most useful first. It has no memory of
-//! its own: a change that takes several steps goes on because the next plan
-//! finds the same best step. Nothing is unloaded but to make room, to follow
-//! a version or to obey an exception.
+//! It starts from the current placement, including loads and unloads under way,
+//! and improves it one copy at a time, the most useful first. It keeps no state
+//! between plans: a change of several steps continues because the next plan finds
+//! the same best step. A copy is unloaded only to free memory, to change its
+//! version, to obey an exception, or because it is no longer hosted.
 
 mod adapters;
-mod assign;
-mod board;
+mod draft;
+mod load_assignment;
 mod outcome;
+mod placement_option;
 mod problem;
-mod room;
+mod relocation;
 mod stages;
-mod stones;
 mod tuning;
 
 pub use outcome::{MoveReason, PlanOutcome, PlannedMove, UnplacedItem, UnplacedReason};
@@ -22,18 +22,18 @@
 };
 pub use tuning::PlannerTuning;
 
-use board::Board;
+use draft::DraftPlacement;
 
-/// Plans the next moves.
+/// Returns the next moves, the goals that must wait and the unplaced items.
 #[must_use]
 pub fn plan(problem: &PlanProblem) -> PlanOutcome {
-    let mut board = Board::new(problem);
-    board.assign();
-    stages::remove_unwanted(&mut board);
-    stages::place_required(&mut board);
-    stages::follow_versions(&mut board);
-    stages::follow_demand(&mut board);
-    stages::cover(&mut board);
-    adapters::place(&mut board);
-    board.outcome
+    let mut draft = DraftPlacement::new(problem);
+    draft.assign_load();
+    stages::unload_unwanted(&mut draft);
+    stages::place_required(&mut draft);
+    stages::replace_old_versions(&mut draft);
+    stages::add_copies_for_demand(&mut draft);
+    stages::fill_free_memory(&mut draft);
+    adapters::place(&mut draft);
+    draft.outcome
 }
--- a/crates/clementinepond_decide/src/plan/intake.rs
+++ b/crates/clementinepond_decide/src/plan/platform_reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the platform.
+//! Handling of the platform's replies to reads and writes of the plan object.
 
 use super::lease::{Acquiring, LeasePhase, PendingWrite, PlanLease};
 use super::{
@@ -8,7 +8,7 @@
 use crate::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::{LocalTime, ObjectVersion};
 
-/// Takes in the answer to a read.
+/// Handles the reply to a read.
 pub(super) fn read_replied(
     state: &mut PlanState,
     reply: ReadReply<PlanObject>,
@@ -22,7 +22,7 @@
     observe(state, version, value, now)
 }
 
-/// Takes in the answer to a conditional update.
+/// Handles the reply to a conditional update.
 pub(super) fn store_replied(
     state: &mut PlanState,
     write: WriteId,
@@ -32,12 +32,12 @@
     match reply {
         StoreReply::Stored { version } => {
             if pending_id(&state.phase) == Some(write) {
-                return landed(state, version, now);
+                return complete_write(state, version, now);
             }
             Vec::new()
         }
         StoreReply::Conflict(found) => {
-            let (version, value) = split(found);
+            let (version, value) = into_parts(found);
             observe(state, version, value, now)
         }
         StoreReply::Unknown => {
@@ -45,22 +45,22 @@
                 && let Some(pending) = pending_mut(&mut state.phase)
             {
                 pending.answer_lost = true;
-                return vec![read(state)];
+                return vec![read_effect(state)];
             }
             Vec::new()
         }
     }
 }
 
-fn split(found: Option<VersionedObject<PlanObject>>) -> (ObjectVersion, Option<PlanObject>) {
+fn into_parts(found: Option<VersionedObject<PlanObject>>) -> (ObjectVersion, Option<PlanObject>) {
     match found {
         Some(found) => (found.version, Some(found.value)),
         None => (ObjectVersion::default(), None),
     }
 }
 
-/// Asks for the plan object.
-pub(super) fn read(state: &PlanState) -> PlanEffect {
+/// Returns the effect that reads the plan object.
+pub(super) fn read_effect(state: &PlanState) -> PlanEffect {
     PlanEffect::Read {
         data_centre: state.data_centre.clone(),
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Takes in a version of the object, from whatever source.
+/// Handles a version of the object, from a read, a watch or a conflict.
 fn observe(
     state: &mut PlanState,
     version: ObjectVersion,
@@ -91,7 +91,7 @@
     now: LocalTime,
 ) -> Vec<PlanEffect> {
     if let LeasePhase::Follower(lease) = &mut state.phase {
-        lease.note(version, value, now);
+        lease.record(version, value, now);
         return Vec::new();
     }
     if let LeasePhase::Acquiring(lease) = &state.phase {
@@ -113,15 +113,15 @@
         .as_ref()
         .is_some_and(|object| object.is_from(&state.vm, write.object.nonce));
     if is_own {
-        return landed(state, version, now);
+        return complete_write(state, version, now);
     }
     if version > write.if_version || (value.is_none() && write.if_version.get() > 0) {
         step_down(state, version, value, now);
         return Vec::new();
     }
     if write.answer_lost && version == write.if_version {
-        // The same write again: whichever of both lands, it counts from the
-        // first send.
+        // The same write is sent again: whichever of the two is stored, the lease
+        // counts from the first send.
         return resend(state);
     }
     Vec::new()
@@ -137,11 +137,11 @@
         return Vec::new();
     };
     if version <= term.version && value.is_some() {
-        let is_unlanded = version == term.version;
+        let is_not_stored = version == term.version;
         let is_lost = term.write.as_ref().is_some_and(|write| write.answer_lost);
-        if is_unlanded && is_lost {
-            // It may still land; the next write has a number of its own.
-            term.drop_write();
+        if is_not_stored && is_lost {
+            // The write may still be stored; the next one has a number of its own.
+            term.abandon_write();
         }
         return Vec::new();
     }
@@ -155,11 +155,12 @@
     };
     let expected = term.write.as_ref().map(|write| write.object.renewals);
     if expected == Some(renewals) {
-        return landed(state, version, now);
+        return complete_write(state, version, now);
     }
-    // An earlier write of this term landed late; the next one follows it.
+    // An earlier write of this term was stored late; the next one builds on its
+    // version.
     term.version = version;
-    term.drop_write();
+    term.abandon_write();
     Vec::new()
 }
 
@@ -176,8 +177,13 @@
     vec![effect]
 }
 
-/// The write under way has landed.
-fn landed(state: &mut PlanState, version: ObjectVersion, now: LocalTime) -> Vec<PlanEffect> {
+/// Handles the pending write, now known to be stored: starts the term, extends the
+/// lease or ends a released one.
+fn complete_write(
+    state: &mut PlanState,
+    version: ObjectVersion,
+    now: LocalTime,
+) -> Vec<PlanEffect> {
     if let LeasePhase::Acquiring(lease) = &state.phase {
         let lease = lease.clone();
         acquire(state, lease, version, now);
@@ -201,7 +207,7 @@
     writing::issue_written(state, &write.object.orders, now)
 }
 
-/// Starts a term: everything known of the endpoints is doubted anew.
+/// Starts a term: the state of every endpoint must be confirmed again.
 fn acquire(
     state: &mut PlanState,
     lease: PlanLease<Acquiring>,
@@ -215,27 +221,28 @@
     } else {
         lease.state.write.sent_at
     };
-    let quiet_at = lease.state.quiet_at;
+    let effect_end = lease.state.effect_end;
     state.next_number = OrderNumber::first_of(lease.state.write.object.fencing);
     let inherited = lease.state.write.object.orders.clone();
     state.phase = LeasePhase::Waiting(lease.acquired(version, settings, counted_from));
-    let is_trusting = settings.mutated(PlanMutation::NoBarrierOnTakeover);
+    let skips_barrier = settings.mutated(PlanMutation::NoBarrierOnTakeover);
     for entry in state.endpoints.values_mut() {
-        entry.restart();
-        entry.settled = is_trusting;
+        entry.reset();
+        entry.confirmed = skips_barrier;
     }
     if !state.settings.mutated(PlanMutation::ForgetInheritedOrders) {
         for intent in inherited {
-            inherit(state, intent, quiet_at);
+            inherit(state, intent, effect_end);
         }
     }
     state.staged.clear();
     state.next_plan_at = now;
-    // The store's share may have been used up by the previous holder.
+    // The previous holder may have used up the weight store's share.
     state.next_load_at = now + writing::load_interval(state);
 }
 
-fn inherit(state: &mut PlanState, intent: OrderIntent, quiet_at: LocalTime) {
+/// Reserves memory for an order that an earlier holder may have sent.
+fn inherit(state: &mut PlanState, intent: OrderIntent, effect_end: LocalTime) {
     let entry = state
         .endpoints
         .entry(intent.endpoint)
@@ -246,13 +253,13 @@
         PossibleOrder {
             action: intent.action,
             reason: intent.reason,
-            window_end: quiet_at,
+            window_end: effect_end,
             barrier: None,
         },
     );
 }
 
-/// Goes back to watching; nothing that waits is sent any more.
+/// Becomes a follower; staged orders are dropped.
 pub(super) fn step_down(
     state: &mut PlanState,
     version: ObjectVersion,
@@ -260,17 +267,17 @@
     now: LocalTime,
 ) {
     let mut lease = PlanLease::watch(None);
-    lease.note(version, value, now);
+    lease.record(version, value, now);
     state.phase = LeasePhase::Follower(lease);
-    forget_term(state);
+    clear_term(state);
 }
 
-/// Drops what only a holder may act on.
-pub(super) fn forget_term(state: &mut PlanState) {
+/// Clears the state that only the lease holder may act on.
+pub(super) fn clear_term(state: &mut PlanState) {
     state.staged.clear();
     state.goals.clear();
     state.unplaced.clear();
     for entry in state.endpoints.values_mut() {
-        entry.restart();
+        entry.reset();
     }
 }
