--- a/crates/clementinepond_dispatch/src/directory/mod.rs
+++ b/crates/clementinepond_dispatch/src/directory/mod.rs
@@ -1,9 +1,9 @@
 //! Directory of the endpoints that a VM knows.
 //!
-//! An endpoint once seen draining remains so for the rest of its incarnation, whatever
-//! older lists state. An endpoint that is no longer listed stays usable for a short
-//! time, since entries expire while the store is unavailable and reappear after its
-//! return.
+//! An endpoint that was seen draining counts as draining for the rest of its
+//! incarnation, even if an outdated list shows it as ready. An endpoint that is no
+//! longer listed stays usable for a short time, since entries expire while the store is
+//! unavailable and reappear after its return.
 
 mod revision_guard;
 
@@ -17,10 +17,11 @@
 /// Time for which an endpoint that is no longer listed stays usable; less than the two
 /// seconds after which the platform requires that a leaving endpoint gets no requests.
 const UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(1_200);
-/// The same after an outage of the store. Entries reappear within two seconds of its
-/// return, or their endpoints are gone.
+/// Time for which an endpoint stays usable that is found unlisted shortly after an
+/// outage of the store. Entries reappear within two seconds of its return, or their
+/// endpoints are gone.
 const OUTAGE_UNLISTED_GRACE: TimeSpan = TimeSpan::from_millis(2_200);
-/// Time after an outage of the store during which entries are expected to be missing.
+/// Time after an outage of the store in which a missing entry may still reappear.
 const OUTAGE_RECOVERY_WINDOW: TimeSpan = TimeSpan::from_secs(3);
 
 /// Whether an endpoint is listed in the store.
@@ -35,7 +36,7 @@
 /// Endpoint that the VM knows.
 #[derive(Debug, Clone)]
 pub struct KnownEndpoint {
-    /// Last description of the endpoint.
+    /// Newest description of the endpoint.
     pub entry: EndpointEntry,
     /// Whether the endpoint is listed.
     pub presence: Presence,
@@ -48,11 +49,11 @@
 pub enum EndpointChange {
     /// The endpoint is new or has a new incarnation.
     Joined,
-    /// The description changed.
+    /// The description changed otherwise.
     Updated,
-    /// The endpoint stopped taking requests.
+    /// The phase changed to draining.
     Draining,
-    /// Nothing changed, or the description is of an earlier incarnation.
+    /// The description is the same, or is of an earlier incarnation.
     Same,
 }
 
@@ -67,7 +68,7 @@
 }
 
 impl EndpointDirectory {
-    /// Replaces the directory by a complete list; endpoints not in it become unlisted.
+    /// Updates the directory from a complete list; endpoints not in it become unlisted.
     pub fn replace(&mut self, list: Vec<EndpointEntry>, revision: u64, now: LocalTime) {
         let listed: FnvHashSet<EndpointId> = list.iter().map(|entry| entry.id.clone()).collect();
         for entry in list {
@@ -85,7 +86,8 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Updates an endpoint from its description.
+    /// Updates an endpoint from its description and marks it as listed, unless the
+    /// description is of an earlier incarnation.
     pub fn update(&mut self, mut entry: EndpointEntry, now: LocalTime) -> EndpointChange {
         let id = entry.id.clone();
         if self.draining.get(&id) == Some(&entry.started_ms) {
@@ -140,9 +142,10 @@
     /// Removes unlisted endpoints whose grace period is over.
     ///
     /// Returns their IDs, and those of listed endpoints whose announced removal time
-    /// has passed, which stay in the directory.
+    /// has passed; the latter stay in the directory and are returned again by each
+    /// call.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<EndpointId> {
-        let gone: Vec<EndpointId> = self
+        let expired: Vec<EndpointId> = self
             .endpoints
             .iter()
             .filter(|(_, known)| match known.presence {
@@ -151,7 +154,7 @@
             })
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
+        for id in &expired {
             let is_unlisted = self
                 .endpoints
                 .get(id)
@@ -160,10 +163,10 @@
                 self.endpoints.remove(id);
             }
         }
-        gone
+        expired
     }
 
-    /// Returns an endpoint.
+    /// Returns the endpoint with an ID.
     #[must_use]
     pub fn get(&self, id: &EndpointId) -> Option<&KnownEndpoint> {
         self.endpoints.get(id)
--- a/crates/clementinepond_dispatch/src/fleet/policy.rs
+++ b/crates/clementinepond_dispatch/src/fleet/policy.rs
@@ -118,7 +118,7 @@
 }
 
 impl FleetPolicy {
-    /// Returns a service.
+    /// Returns the service with an ID.
     #[must_use]
     pub fn service(&self, id: &ServiceId) -> Option<&ServicePolicy> {
         self.services.iter().find(|service| service.id == *id)
--- a/crates/clementinepond_dispatch/src/health/endpoint_health.rs
+++ b/crates/clementinepond_dispatch/src/health/endpoint_health.rs
@@ -4,12 +4,12 @@
 
 /// Half-life of an outcome's weight, in seconds.
 const OUTCOME_HALF_LIFE_S: f64 = 3.0;
-/// Duration of the first ejection.
+/// Duration of the first ejection, doubled for each repeated one.
 const MIN_EJECTION_DURATION: TimeSpan = TimeSpan::from_millis(800);
 /// Longest duration of an ejection.
 const MAX_EJECTION_DURATION: TimeSpan = TimeSpan::from_secs(4);
-/// Time after the end of an ejection from which the next one starts at the shortest
-/// duration again.
+/// Time after the end of an ejection after which the next one counts as the first
+/// again.
 const EJECTION_RESET_TIME: TimeSpan = TimeSpan::from_secs(6);
 
 /// Outcome of a request at an endpoint.
@@ -56,7 +56,7 @@
 }
 
 impl EndpointHealth {
-    /// Records an outcome.
+    /// Records an outcome; one other than a success ejects an endpoint on trial.
     pub fn record(&mut self, outcome: EndpointOutcome, now: LocalTime) {
         self.decay(now);
         match outcome {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Records the end of a request.
+    /// Records the end of a request, and of a trial if one is running.
     pub const fn end_run(&mut self) {
         self.running_trials = self.running_trials.saturating_sub(1);
     }
--- a/crates/clementinepond_dispatch/src/health/health_table.rs
+++ b/crates/clementinepond_dispatch/src/health/health_table.rs
@@ -9,8 +9,8 @@
 const MIN_FAILURE_WEIGHT: f64 = 1.6;
 /// Share of failures below which an endpoint is not ejected, unless it is unreachable.
 const MIN_FAILURE_SHARE: f64 = 0.3;
-/// Minimum ratio of an endpoint's share of failures to that of its peers for an
-/// ejection.
+/// Ratio of an endpoint's share of failures to that of its peers below which it is not
+/// ejected, unless it is unreachable.
 const PEER_FAILURE_FACTOR: f64 = 2.0;
 
 /// Health of an endpoint, best first.
--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -3,9 +3,9 @@
 //! One VM at a time sends orders to endpoints. The lease holder renews the object and
 //! stops sending orders before the lease ends, measured on a clock that keeps running
 //! during suspension. A successor waits for a full lease duration after it has read the
-//! object, takes the lease by a conditional update, which fails if the object has
-//! changed, and sends its first order only after the gap in which endpoints must not
-//! see two holders.
+//! object, unless the holder has released the lease or reported its expiry. It takes
+//! the lease by a conditional update, which fails if the object has changed, and sends
+//! its first order only after the minimum gap between the orders of two holders.
 
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 const RENEWAL_INTERVAL: TimeSpan = TimeSpan::from_millis(450);
 /// Interval between checks whether another VM's lease has expired.
 const POLL_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
-/// Delay after a failed call.
+/// Delay between the calls to take the lease, and after a failed call.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(250);
 /// Margin added to the endpoints' minimum gap between the orders of two holders.
 const ORDER_GAP_MARGIN: TimeSpan = TimeSpan::from_millis(600);
@@ -54,7 +54,8 @@
     Tick {
         /// Whether a live peer reports that it holds the lease.
         holder_live: bool,
-        /// Delay before this VM tries to take the lease after the holder was last live.
+        /// Delay after a tick with a live holder before this VM may try to take the
+        /// lease; gives better suited VMs precedence.
         head_start: TimeSpan,
     },
     /// The object was read.
@@ -97,7 +98,8 @@
         fence: u64,
         /// Time from which orders may be sent.
         order_from: LocalTime,
-        /// Whether no other VM held the lease since this one did.
+        /// Whether the object named no other VM as holder or previous holder, so that
+        /// no other VM's orders can still take effect.
         is_resumed: bool,
     },
     /// This VM no longer holds the lease.
@@ -125,8 +127,10 @@
     /// VM that reported its lease as expired, the time of its last order, and the time
     /// of the report.
     expired: Option<(VmId, LocalTime, LocalTime)>,
-    /// Time of the last order of the holder from which this VM takes over.
+    /// Time of the last order of the holder from which this VM takes over; `None`
+    /// unless that holder reported it.
     previous_last_order: Option<LocalTime>,
+    /// Time at which the pending call was sent; `None` when no call is pending.
     call_started_at: Option<LocalTime>,
     next_call: LocalTime,
     is_released: bool,
@@ -232,14 +236,14 @@
         if let Some(held) = &self.held {
             let expected = held.revision;
             let previous = held.previous.clone().filter(|_| now < held.order_from);
-            let write = if self.last_read.is_none() {
+            let call = if self.last_read.is_none() {
                 LeaseEffect::Read
             } else {
                 self.write(expected, previous)
             };
             self.call_started_at = Some(now);
             self.next_call = now + RENEWAL_INTERVAL;
-            effects.push(write);
+            effects.push(call);
         } else if !holder_live {
             effects.extend(self.try_acquire(now));
         } else {
@@ -249,7 +253,8 @@
         effects
     }
 
-    /// Returns the next step towards the lease while no holder is live.
+    /// Returns the next call to take the lease while no holder is live; `None` if the
+    /// lease has not expired yet.
     fn try_acquire(&mut self, now: LocalTime) -> Option<LeaseEffect> {
         let effect = match &self.last_read {
             None => LeaseEffect::Read,
@@ -303,7 +308,7 @@
         if let Some(held) = &mut self.held {
             if is_own {
                 // An update whose reply was lost took effect. It doesn't extend the
-                // lease, since the time of sending is no longer known.
+                // lease, since its time of sending is no longer known.
                 held.revision = stored.revision;
                 self.last_read = Some((stored, now));
                 return Vec::new();
@@ -394,6 +399,7 @@
     }
 }
 
+/// Returns the VM whose orders may still take effect after a successor takes the lease.
 fn previous_of(stored: &StoredLease) -> Option<VmId> {
     let record = stored.record.as_ref()?;
     record.previous.clone().or_else(|| record.holder.clone())
--- a/crates/clementinepond_dispatch/src/load/load_table.rs
+++ b/crates/clementinepond_dispatch/src/load/load_table.rs
@@ -1,10 +1,10 @@
-//! Load of all endpoints, as one VM knows it.
+//! Load of all endpoints, as known to one VM.
 
 use super::{EndpointLoad, NameHash, PrefillQueue};
 use clementinepond_types::{LocalTime, VmId};
 use fnv::FnvHashMap;
 
-/// Load of all endpoints, as one VM knows it.
+/// Load of all endpoints, as known to one VM.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     own: FnvHashMap<NameHash, EndpointLoad>,
@@ -12,6 +12,7 @@
     own_prefill: FnvHashMap<NameHash, u32>,
     /// Estimated prefill queues from the requests of all VMs.
     queues: FnvHashMap<NameHash, PrefillQueue>,
+    /// Load from the requests of all peers; the sum of `by_peer`.
     remote: FnvHashMap<NameHash, EndpointLoad>,
     by_peer: FnvHashMap<VmId, Vec<(NameHash, EndpointLoad)>>,
 }
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Replaces a peer's load by that of its heartbeat.
+    /// Replaces a peer's load with that of its heartbeat.
     pub fn set_peer(&mut self, peer: &VmId, loads: Vec<(NameHash, EndpointLoad)>) {
         self.forget_peer(peer);
         for (key, load) in &loads {
@@ -104,7 +105,7 @@
     }
 
     /// Returns the prompt tokens that an endpoint has to process before those of a new
-    /// request.
+    /// request: the estimated queue, or this VM's own share if that is larger.
     #[must_use]
     pub fn pending_prefill(&self, key: NameHash, now: LocalTime) -> f64 {
         let queue = self.queues.get(&key);
--- a/crates/clementinepond_dispatch/src/peer/message.rs
+++ b/crates/clementinepond_dispatch/src/peer/message.rs
@@ -8,13 +8,13 @@
 /// Usage of one account at one VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    /// Account that the values apply to.
+    /// ID of the account.
     pub account: AccountId,
     /// Units admitted since the VM's process started.
     pub admitted: u64,
     /// Units requested per second, including refused ones.
     pub requested_per_s: u32,
-    /// Level of the VM's copy of the bucket; negative after use at peers.
+    /// Level of the VM's copy of the bucket, in units; may be negative.
     pub level: i64,
 }
 
@@ -59,8 +59,8 @@
 pub struct PeerHeartbeat {
     /// Random number that identifies the process.
     pub incarnation: u64,
-    /// Sequence number of the heartbeat within the process; late older ones are
-    /// dropped.
+    /// Sequence number of the heartbeat within the process; a heartbeat whose number is
+    /// not higher than the last one's is dropped.
     pub number: u64,
     /// Data centre of the VM.
     pub data_centre: DataCentreId,
@@ -114,7 +114,8 @@
     pub removed: Vec<AdapterLocation>,
     /// Copies that are about to be unloaded, as endpoint and model.
     pub closing: Vec<(NameHash, NameHash)>,
-    /// Models being loaded, with the milliseconds until they are expected to serve.
+    /// Models of the moves in progress, with the milliseconds until they are expected
+    /// to serve.
     pub loading: Vec<(NameHash, u32)>,
 }
 
@@ -141,7 +142,7 @@
 pub struct RunUpdate {
     /// Random number that identifies the process.
     pub incarnation: u64,
-    /// Requests, oldest first.
+    /// Requests in the order of sending.
     pub runs: Vec<SentRun>,
 }
 
--- a/crates/clementinepond_dispatch/src/peer/peer_table.rs
+++ b/crates/clementinepond_dispatch/src/peer/peer_table.rs
@@ -11,8 +11,8 @@
 /// Time without contact after which a peer is no longer live. Several heartbeats are
 /// sent within it, so that a lost datagram does not matter.
 const LIVENESS_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
-/// Number of peers at which the liveness timeout is doubled, since heartbeats are less
-/// frequent in a larger fleet.
+/// Number of peers at which the liveness timeout is doubled. The timeout grows linearly
+/// with the number of peers, since heartbeats are less frequent in a larger fleet.
 const TIMEOUT_DOUBLING_PEERS: u64 = 70;
 /// Number of VMs of a data centre that watch the store for the others; two, so that one
 /// may fail.
@@ -24,18 +24,18 @@
 /// the platform announces.
 const PEER_EXPIRY: TimeSpan = TimeSpan::from_secs(25);
 
-/// Age of the last contact up to which a peer's usage counts as known; a few times the
+/// Age of the last contact below which a peer's usage counts as known; a few times the
 /// usual interval between a busy peer's requests.
 const FRESH_CONTACT_AGE: TimeSpan = TimeSpan::from_millis(500);
-/// Share of the peers that must have been in contact within that age, as numerator and
-/// denominator. Not every live peer sends a request in that time, but enough do; when a
-/// tenth of the fleet or more is cut off, too few do.
+/// Share of the peers, as numerator and denominator, whose last contact must be below
+/// [`FRESH_CONTACT_AGE`]. In a connected fleet, enough peers send a request in that
+/// time, though not all; when a tenth of the fleet or more is cut off, too few do.
 const FRESH_PEER_SHARE: (usize, usize) = (3, 4);
 
 /// Bandwidth above which a wider link no longer raises a VM's watcher rank, in megabits
 /// per second.
 const MAX_RANKED_LINK_MBPS: u32 = 100;
-/// Rendezvous key that orders the watchers.
+/// Rendezvous key that orders watcher candidates with equal links.
 const WATCHER_RANK_KEY: u64 = 1;
 
 /// Last known state of a peer.
@@ -45,16 +45,17 @@
     pub address: SocketAddrV4,
     /// Last heartbeat; `None` until one has arrived.
     pub heartbeat: Option<Box<PeerHeartbeat>>,
-    /// Time of the last contact with the peer's process, or of the first mention.
+    /// Time of the last contact with the peer's process, or at which its address became
+    /// known.
     pub last_seen: LocalTime,
 }
 
-/// Units of an account that a peer admitted since its last message.
+/// Units of an account that a peer admitted since its last known count.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RemoteUsage {
     /// Account that the units belong to.
     pub account: AccountId,
-    /// Number of units; negative after a refund.
+    /// Number of units; negative if more were refunded than admitted.
     pub units: f64,
     /// Level of the peer's copy of the bucket.
     pub level: f64,
@@ -69,7 +70,7 @@
 }
 
 impl PeerTable {
-    /// Adds a peer or updates its address; returns whether either was new.
+    /// Adds a peer or updates its address; returns whether the peer or address is new.
     pub fn learn(&mut self, vm: &VmId, address: SocketAddrV4, now: LocalTime) -> bool {
         if let Some(peer) = self.peers.get_mut(vm) {
             let is_moved = peer.address != address;
@@ -87,8 +88,8 @@
 
     /// Records a heartbeat.
     ///
-    /// Returns the usage of the peer's accounts since its last one, or `None` when the
-    /// heartbeat is out of date.
+    /// Returns the usage of the peer's accounts since the last known counts, or `None`
+    /// when the heartbeat is not newer than the last one of its process.
     pub fn record_heartbeat(
         &mut self,
         vm: &VmId,
@@ -104,19 +105,19 @@
             return None;
         }
         let mut usages = Vec::new();
-        for account in &heartbeat.accounts {
+        for usage in &heartbeat.accounts {
             let known_admitted = before
                 .filter(|_| is_same_process)
                 .and_then(|old| {
                     old.accounts
                         .iter()
-                        .find(|one| one.account == account.account)
+                        .find(|known| known.account == usage.account)
                 })
-                .map_or(0, |one| one.admitted);
+                .map_or(0, |known| known.admitted);
             usages.push(RemoteUsage {
-                account: account.account.clone(),
-                units: difference(account.admitted, known_admitted),
-                level: account.level as f64,
+                account: usage.account.clone(),
+                units: difference(usage.admitted, known_admitted),
+                level: usage.level as f64,
                 is_first: before.is_none(),
             });
         }
@@ -127,8 +128,8 @@
 
     /// Records the units that a peer has admitted for an account.
     ///
-    /// Returns the units since its last message, or `None` when the peer's process or
-    /// its use of the account is not known.
+    /// Returns the units since the last known count, or `None` when no heartbeat of
+    /// that process lists the account.
     pub fn record_admitted(
         &mut self,
         vm: &VmId,
@@ -143,7 +144,7 @@
         let known = heartbeat
             .accounts
             .iter_mut()
-            .find(|one| one.account == *account)?;
+            .find(|usage| usage.account == *account)?;
         let units = difference(admitted, known.admitted);
         known.admitted = admitted;
         Some(units)
@@ -159,7 +160,8 @@
         }
     }
 
-    /// Returns whether the knowledge of the peers' usage is up to date.
+    /// Returns whether enough peers were recently in contact for the known usage to
+    /// count as up to date.
     #[must_use]
     pub fn is_usage_fresh(&self, now: LocalTime) -> bool {
         let in_contact = self
@@ -174,16 +176,16 @@
 
     /// Removes peers that have been out of contact for too long; returns their IDs.
     pub fn sweep(&mut self, now: LocalTime) -> Vec<VmId> {
-        let gone: Vec<VmId> = self
+        let expired: Vec<VmId> = self
             .peers
             .iter()
             .filter(|(_, peer)| now.since(peer.last_seen) > PEER_EXPIRY)
             .map(|(vm, _)| vm.clone())
             .collect();
-        for vm in &gone {
+        for vm in &expired {
             self.peers.remove(vm);
         }
-        gone
+        expired
     }
 
     /// Returns all peers.
@@ -191,7 +193,8 @@
         self.peers.iter()
     }
 
-    /// Returns the live peers.
+    /// Returns the live peers: those that have sent a heartbeat and were in contact
+    /// within the liveness timeout.
     pub fn live(&self, now: LocalTime) -> impl Iterator<Item = (&VmId, &PeerState)> {
         let peers = self.peers.len() as u64;
         let timeout =
@@ -201,10 +204,11 @@
         })
     }
 
-    /// Returns the rank of a VM among the watcher candidates of its data centre.
+    /// Returns the rank of a VM among the watcher candidates of its data centre; 0 is
+    /// first.
     ///
-    /// The rank is the same on all VMs that are in contact with each other. VMs whose
-    /// links can carry the changes for a whole data centre come first.
+    /// VMs that are in contact with each other compute the same order. VMs with wider
+    /// links come first, since watchers pass on the changes to their data centre.
     #[must_use]
     pub fn watch_rank(
         &self,
@@ -232,8 +236,8 @@
             .count()
     }
 
-    /// Returns whether a VM watches the store itself rather than receive changes from
-    /// peers.
+    /// Returns whether a VM watches the store itself instead of receiving the changes
+    /// from peers.
     #[must_use]
     pub fn is_watcher(
         &self,
@@ -260,7 +264,8 @@
             .max_by_key(|(_, fence)| *fence)
     }
 
-    /// Returns the time since the last contact with a peer.
+    /// Returns the time since the last contact with a peer; for an unknown one, the
+    /// time after which peers are removed.
     #[must_use]
     pub fn age(&self, vm: &VmId, now: LocalTime) -> TimeSpan {
         self.peers
@@ -287,13 +292,12 @@
     pub fn requested_per_s(&self, now: LocalTime) -> FnvHashMap<AccountId, f64> {
         let mut sum: FnvHashMap<AccountId, f64> = FnvHashMap::default();
         for (_, peer) in self.live(now) {
-            for account in peer
+            for usage in peer
                 .heartbeat
                 .iter()
                 .flat_map(|heartbeat| &heartbeat.accounts)
             {
-                *sum.entry(account.account.clone()).or_default() +=
-                    f64::from(account.requested_per_s);
+                *sum.entry(usage.account.clone()).or_default() += f64::from(usage.requested_per_s);
             }
         }
         sum
@@ -317,7 +321,7 @@
     }
 }
 
-/// Returns the change of a count, which is negative after a refund.
+/// Returns the change of a count, which is negative after refunds.
 fn difference(after: u64, before: u64) -> f64 {
     after as f64 - before as f64
 }
--- a/crates/clementinepond_dispatch/src/place/choose.rs
+++ b/crates/clementinepond_dispatch/src/place/choose.rs
@@ -5,13 +5,14 @@
 
 /// Utilization per copy above which a model gets another copy, in engines.
 const COPY_UTILIZATION_LIMIT: f64 = 0.22;
-/// Utilization above which a model with a single copy gets a second one, in engines.
-/// Losing the only copy would stop the model's requests for the duration of a load.
+/// Utilization above which a model with a single copy gets a second one, in engines;
+/// low, since losing the only copy would stop the model's requests for the duration of
+/// a load.
 const SINGLE_COPY_UTILIZATION_LIMIT: f64 = 0.08;
 /// Highest utilization per copy that a model may reach by an eviction, as a share of
 /// that of the model to load. Keeps moves from oscillating.
 const EVICTION_UTILIZATION_RATIO: f64 = 0.6;
-/// Age below which a copy is not evicted.
+/// Time since its arrival before a copy may be evicted.
 const MIN_EVICTION_AGE: TimeSpan = TimeSpan::from_secs(4);
 
 /// Move that evicts copies from an engine and then loads a model there.
@@ -27,7 +28,7 @@
     pub from_store: bool,
 }
 
-/// Returns the most useful move that is possible, or `None`.
+/// Returns the possible move of the highest priority, or `None`.
 ///
 /// Models without a copy come first, then those with the highest utilization per copy.
 #[must_use]
@@ -59,8 +60,8 @@
     candidates.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
     candidates
         .into_iter()
-        .find_map(|(is_lost, copy_utilization, model)| {
-            let limit = if is_lost {
+        .find_map(|(has_no_copy, copy_utilization, model)| {
+            let limit = if has_no_copy {
                 f64::INFINITY
             } else {
                 copy_utilization * EVICTION_UTILIZATION_RATIO
@@ -69,7 +70,8 @@
         })
 }
 
-/// Counts the copies of each model that serve or may come to serve.
+/// Counts the copies of each model on usable engines, including those that may come to
+/// be loaded.
 fn count_copies(view: &PlacementView) -> Vec<usize> {
     let mut copies = vec![0; view.models.len()];
     for engine in view.engines.iter().filter(|engine| engine.is_usable) {
@@ -80,7 +82,7 @@
     copies
 }
 
-/// Counts the copies of each model that serve now.
+/// Counts the copies of each model that serve on usable engines and stay.
 fn count_serving(view: &PlacementView) -> Vec<usize> {
     let mut copies = vec![0; view.models.len()];
     for engine in view.engines.iter().filter(|engine| engine.is_usable) {
@@ -91,6 +93,9 @@
     copies
 }
 
+/// Returns the move of the lowest cost that loads a model.
+///
+/// `limit` is the highest utilization per copy that an eviction may cause.
 fn best_engine(
     view: &PlacementView,
     model: usize,
@@ -106,7 +111,8 @@
         if !is_warm && !view.may_load_from_store {
             continue;
         }
-        let Some((unload, worst_utilization)) = make_room(view, engine, model, limit, serving)
+        let Some((unload, worst_utilization)) =
+            select_evictions(view, engine, model, limit, serving)
         else {
             continue;
         };
@@ -118,6 +124,7 @@
             .filter(|(held, _)| !unload.contains(held))
             .map(|(held, _)| view.models[*held].utilization / serving[*held].max(1) as f64)
             .sum();
+        // In engines: 0.2 per second of loading and 0.1 per evicted copy.
         let cost =
             worst_utilization + seconds * 0.2 + staying_utilization + 0.1 * unload.len() as f64;
         if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
@@ -133,10 +140,11 @@
     best.map(|(_, chosen)| chosen)
 }
 
-/// Selects the copies to evict so that the model fits.
+/// Selects the copies to evict from an engine so that a model fits, or `None` if it
+/// cannot.
 ///
-/// Returns them with the highest utilization per copy that the eviction causes.
-fn make_room(
+/// Returns them with the highest utilization per copy that the evictions cause.
+fn select_evictions(
     view: &PlacementView,
     engine: &EngineView,
     model: usize,
--- a/crates/clementinepond_dispatch/src/place/demand.rs
+++ b/crates/clementinepond_dispatch/src/place/demand.rs
@@ -8,8 +8,9 @@
 /// Decay time of the moving averages, in seconds; short, since demand shifts between
 /// models within seconds.
 const DECAY_TIME_S: f64 = 1.5;
-/// Demand below which a model is dropped from the heartbeat, in tokens per second. A
-/// single request stays above it for some seconds.
+/// Demand at or below which a model is dropped after it has been reported once more, in
+/// prompt and output tokens per second. The demand of a single request stays above it
+/// for some seconds.
 const MIN_REPORTED_TOKENS_PER_S: f32 = 3.0;
 /// Prompt tokens per second that an engine processes while it also generates.
 const PREFILL_TOKENS_PER_S: f64 = 24_000.0;
@@ -19,11 +20,13 @@
 /// Exponentially decaying averages of the demand for each model.
 #[derive(Debug, Default)]
 pub struct DemandMeter {
+    /// Demand and the time of its last update, by model.
     models: FnvHashMap<NameHash, (ModelDemand, LocalTime)>,
 }
 
 impl DemandMeter {
-    /// Counts a request, whether or not it is served.
+    /// Counts a request with its uncached prompt tokens and requested output tokens,
+    /// whether or not it is served.
     pub fn record(&mut self, model: NameHash, prefill: u64, output: u64, now: LocalTime) {
         let (demand, at) = self
             .models
@@ -31,12 +34,12 @@
             .or_insert((ModelDemand::default(), now));
         *demand = decayed(*demand, *at, now);
         *at = now;
-        let step = (1.0 / DECAY_TIME_S) as f32;
-        demand.prefill_per_s += prefill as f32 * step;
-        demand.output_per_s += output as f32 * step;
+        let weight = (1.0 / DECAY_TIME_S) as f32;
+        demand.prefill_per_s += prefill as f32 * weight;
+        demand.output_per_s += output as f32 * weight;
     }
 
-    /// Returns the current demand for each model and drops models with negligible
+    /// Returns the current demand for each model and then drops models with negligible
     /// demand.
     pub fn snapshot(&mut self, now: LocalTime) -> Vec<(NameHash, ModelDemand)> {
         let current: Vec<_> = self
--- a/crates/clementinepond_dispatch/src/place/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/mod.rs
@@ -1,7 +1,7 @@
 //! Placement of models and adapters on the engines of a service.
 //!
 //! Demand shifts between models within seconds. Busy models get as many copies as
-//! memory allows, and every model keeps at least one. `choose` decides which copy to
+//! memory allows, and no model's last copy is evicted. `choose` decides which copy to
 //! load and which to evict. `planner` turns these moves into orders to endpoints; each
 //! order is safe for any outcome of the pending ones.
 
--- a/crates/clementinepond_dispatch/src/place/order.rs
+++ b/crates/clementinepond_dispatch/src/place/order.rs
@@ -33,12 +33,13 @@
     pub fence: u64,
 }
 
-/// Outcome of sending an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderReply {
     /// The endpoint performs the order.
     Accepted,
-    /// The endpoint is already in the requested state.
+    /// The endpoint is already in the requested state; in reply to the unload of an
+    /// adapter, it may have unloaded an idle one at once.
     Holds,
     /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
--- a/crates/clementinepond_dispatch/src/place/order_tracker.rs
+++ b/crates/clementinepond_dispatch/src/place/order_tracker.rs
@@ -1,5 +1,5 @@
-//! Tracks the orders to one endpoint and bounds what it may hold while their outcome is
-//! unknown.
+//! Tracker of the orders to one endpoint; determines what the endpoint may hold while
+//! the outcome of orders is unknown.
 
 use super::order::{EndpointOrder, OrderReply};
 use crate::fleet::EndpointEntry;
@@ -9,8 +9,8 @@
 
 /// Time within which an endpoint may still perform an order that it did not reply to.
 const LATE_ORDER_TIMEOUT: TimeSpan = TimeSpan::from_secs(14);
-/// Time after which an accepted model load or unload is considered lost if the
-/// endpoint's entry does not show it.
+/// Time after which an accepted model load or unload is considered lost if neither the
+/// endpoint's entry nor its status shows its effect.
 const MODEL_ORDER_TIMEOUT: TimeSpan = TimeSpan::from_secs(20);
 
 /// Delay before the next order to an endpoint that is still unloading an adapter in
@@ -50,11 +50,12 @@
     pub order_count: Option<u64>,
     /// Lower bound of the number of accepted orders.
     count_floor: u64,
-    /// Models in the endpoint's last status that it may still hold.
+    /// Models in the endpoint's last status, without the one being unloaded if its
+    /// entry lists that one.
     reported: BTreeSet<ModelId>,
     /// Order awaiting a reply, with the time of sending.
     pub in_flight: Option<(EndpointOrder, LocalTime)>,
-    /// Orders without a reply, with the time until which they may be performed.
+    /// Orders of unknown outcome, with the time until which they may be performed.
     unresolved: Vec<(EndpointOrder, LocalTime)>,
     /// Model whose load order was accepted but which is not listed yet, with the time
     /// of acceptance.
@@ -76,7 +77,8 @@
 }
 
 impl OrderTracker {
-    /// Updates the state from an endpoint's entry; a new incarnation resets it.
+    /// Updates the state from an endpoint's entry; a new incarnation resets it, except
+    /// for the orders of unknown outcome.
     pub fn record_entry(&mut self, entry: &EndpointEntry, now: LocalTime) {
         let is_new = entry.started_ms != self.started_ms;
         if is_new {
@@ -89,18 +91,18 @@
         }
         self.unresolved.retain(|(_, until)| now < *until);
         let reported = self.reported.clone();
-        let is_done = |model: &ModelId| entry.hosted(model).is_some() || reported.contains(model);
+        let is_held = |model: &ModelId| entry.hosted(model).is_some() || reported.contains(model);
         if self
             .loading
             .as_ref()
-            .is_some_and(|(model, at)| is_done(model) || now.since(*at) > MODEL_ORDER_TIMEOUT)
+            .is_some_and(|(model, at)| is_held(model) || now.since(*at) > MODEL_ORDER_TIMEOUT)
         {
             self.loading = None;
         }
         if self
             .unloading
             .as_ref()
-            .is_some_and(|(model, at)| !is_done(model) || now.since(*at) > MODEL_ORDER_TIMEOUT)
+            .is_some_and(|(model, at)| !is_held(model) || now.since(*at) > MODEL_ORDER_TIMEOUT)
         {
             self.unloading = None;
         }
@@ -127,7 +129,7 @@
         self.order_count = Some(self.count_floor);
     }
 
-    /// Drops a model being unloaded from the reported ones.
+    /// Drops a model being unloaded from those of the last status.
     ///
     /// Used when the entry still lists the model and will therefore show its removal.
     pub fn clear_reported(&mut self, model: &ModelId) {
@@ -144,13 +146,14 @@
             .collect()
     }
 
-    /// Returns whether only a new status can show what the endpoint holds.
+    /// Returns whether a new status is needed: the order count is unknown, or only a
+    /// status can show the removal of the model being unloaded.
     #[must_use]
     pub fn needs_status(&self, entry: &EndpointEntry) -> bool {
-        let is_unlisted = |(model, _): &(ModelId, LocalTime)| {
+        let is_only_reported = |(model, _): &(ModelId, LocalTime)| {
             entry.hosted(model).is_none() && self.reported.contains(model)
         };
-        self.order_count.is_none() || self.unloading.as_ref().is_some_and(is_unlisted)
+        self.order_count.is_none() || self.unloading.as_ref().is_some_and(is_only_reported)
     }
 
     /// Updates the state from the reply to an order.
@@ -158,7 +161,7 @@
         self.in_flight = None;
         match reply {
             OrderReply::Accepted => {
-                self.advance();
+                self.count_accepted_order();
                 self.accepted_at = now;
                 // The order count has advanced, so the endpoint rejects delayed
                 // duplicates.
@@ -183,13 +186,14 @@
         }
     }
 
-    /// Returns whether an adapter in use is being unloaded.
+    /// Returns whether an adapter is being unloaded, which ends only when it is no
+    /// longer in use.
     fn is_unloading_adapter(&self) -> bool {
         let is_unloading = |held: &HeldAdapter| held.phase == AdapterPhase::Unloading;
         self.adapters.values().any(is_unloading)
     }
 
-    fn advance(&mut self) {
+    fn count_accepted_order(&mut self) {
         self.order_count = self.order_count.map(|count| count + 1);
         self.count_floor = self.order_count.unwrap_or(self.count_floor);
     }
@@ -207,7 +211,8 @@
                     used_at: now,
                     ready_at: now,
                 };
-                // The endpoint accepts no order until it has unloaded an adapter.
+                // An endpoint accepts no order while it unloads an adapter, so this
+                // order's acceptance shows that earlier unloads are complete.
                 self.adapters
                     .retain(|_, held| held.phase != AdapterPhase::Unloading);
                 self.adapters.insert((model.clone(), adapter.clone()), held);
@@ -236,7 +241,7 @@
                 // An idle adapter is unloaded at once, which counts as an accepted
                 // order.
                 self.adapters.remove(&(model.clone(), adapter.clone()));
-                self.advance();
+                self.count_accepted_order();
                 self.unresolved.clear();
             }
             EndpointOrder::LoadModel(_) | EndpointOrder::UnloadModel(_) => {
@@ -245,7 +250,7 @@
         }
     }
 
-    /// Returns the orders that may still be performed.
+    /// Returns the orders that have no reply and may still be performed.
     pub fn unresolved(&self) -> impl Iterator<Item = &EndpointOrder> {
         self.unresolved
             .iter()
@@ -262,7 +267,9 @@
         unresolved.chain(self.loading.iter().map(|(model, _)| model))
     }
 
-    /// Returns the number of adapter slots that may be taken.
+    /// Returns the number of adapter slots that may be taken when the next order is
+    /// performed. Adapters being unloaded do not count, since the endpoint accepts no
+    /// order before they are unloaded.
     #[must_use]
     pub fn adapter_slots_taken(&self) -> usize {
         let arriving = self
--- a/crates/clementinepond_dispatch/src/place/planner/adapters.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/adapters.rs
@@ -8,17 +8,23 @@
 use crate::place::order_tracker::AdapterPhase;
 use clementinepond_types::{LocalTime, TimeSpan};
 
-/// Time since the last request for an adapter before it may be evicted. An adapter that
-/// a stream still uses blocks all further orders until the stream ends.
+/// Time since the last request for an adapter after which it may be evicted. An adapter
+/// that a stream still uses blocks all further orders until the stream ends.
 const ADAPTER_MIN_IDLE: TimeSpan = TimeSpan::from_millis(2_500);
 
+/// Next step for a request that waits for an adapter.
 enum AdapterStep {
+    /// The adapter is loaded.
     Ready,
+    /// Nothing can be done yet.
     Wait,
+    /// Send an order that loads the adapter or frees a slot for it.
     Order(EndpointOrder),
 }
 
 impl PlacementPlanner {
+    /// Sends the orders for adapters that requests wait for, and notifies the VMs of
+    /// those that are loaded.
     pub(super) fn advance_adapters(
         &mut self,
         input: &PlannerInput<'_>,
@@ -39,12 +45,12 @@
             }
             let order = match self.adapter_step(input.policy, &wait, now) {
                 AdapterStep::Ready => {
-                    let place = AdapterLocation {
+                    let location = AdapterLocation {
                         endpoint: NameHash::of(wait.endpoint.as_str()),
                         adapter: adapter_hash(&wait.model, &wait.adapter),
                     };
                     for vm in wait.vms {
-                        let place = place.clone();
+                        let place = location.clone();
                         effects.push(PlannerEffect::AdapterReady { vm, place });
                     }
                     continue;
--- a/crates/clementinepond_dispatch/src/place/planner/mod.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/mod.rs
@@ -20,7 +20,7 @@
 const MOVE_SEARCH_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 /// Interval between reads of an endpoint's status.
 const STATUS_READ_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
-/// Time for which a status may not yet show an accepted order.
+/// Time for which a status may still lack an accepted order.
 const STATUS_LAG: TimeSpan = TimeSpan::from_millis(500);
 /// Time from an accepted adapter load until the adapter is usable; the usual load time
 /// of adapters.
@@ -28,8 +28,8 @@
 /// Time after which a wait for an adapter is dropped, since its callers have been sent
 /// elsewhere.
 const ADAPTER_WAIT_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
-/// Limit of unused load credit for the weight store, in loads, unless its rate per
-/// second is higher.
+/// Limit of the unused credit for loads from the weight store, in loads; the store's
+/// loads per second if that is more.
 const STORE_CREDIT_LIMIT: f64 = 3.0;
 
 /// Action that the I/O layer performs for the planner.
@@ -51,7 +51,7 @@
         /// Endpoint and adapter.
         place: AdapterLocation,
     },
-    /// Log that a move was started.
+    /// Log the start of a move.
     MoveStarted {
         /// Endpoint on which the move takes place.
         endpoint: EndpointId,
@@ -66,23 +66,29 @@
     },
 }
 
+/// Move in progress on one endpoint.
 #[derive(Debug, Clone)]
 struct MoveTask {
     unload: Vec<ModelId>,
     load: ModelId,
     from_store: bool,
+    /// Whether the move has taken a load from the store credit.
     is_charged: bool,
     /// Expected duration of the load.
     load_time: TimeSpan,
+    /// Time from which the unload orders may be sent.
     unload_from: LocalTime,
 }
 
+/// Adapter at an endpoint that requests wait for.
 #[derive(Debug, Clone)]
 struct AdapterWait {
     endpoint: EndpointId,
     model: ModelId,
     adapter: AdapterId,
+    /// VMs to notify when the adapter is loaded.
     vms: Vec<VmId>,
+    /// Time of the first request.
     since: LocalTime,
 }
 
@@ -108,12 +114,13 @@
     status_requested_at: FnvHashMap<EndpointId, LocalTime>,
     moves: BTreeMap<EndpointId, MoveTask>,
     waits: Vec<AdapterWait>,
+    /// Number of loads from the weight store that may start now.
     store_credit: f64,
     credited_at: LocalTime,
     next_search: LocalTime,
     /// Time since which no usable endpoint has listed the model.
     lost_since: FnvHashMap<ModelId, LocalTime>,
-    /// Time until which a status may not show the previous holder's orders.
+    /// Time until which a status may still lack the previous holder's orders.
     status_stale_until: LocalTime,
 }
 
@@ -133,7 +140,8 @@
         *self = Self::new(now);
     }
 
-    /// Continues after an expired lease that no other VM held in between.
+    /// Continues after an expired lease that no other VM held in between; the order
+    /// counts are read again.
     pub fn resume(&mut self) {
         for tracker in self.trackers.values_mut() {
             tracker.order_count = None;
@@ -196,7 +204,8 @@
         }
     }
 
-    /// Updates the endpoint's state from a status that was requested at `requested_at`.
+    /// Updates the endpoint's state from a status that was requested at `requested_at`,
+    /// unless the status may lack orders that are in flight or were accepted recently.
     pub fn record_status(
         &mut self,
         endpoint: &EndpointId,
@@ -211,8 +220,8 @@
             return;
         }
         if status.is_busy && tracker.loading.is_none() && tracker.unloading.is_none() {
-            // An earlier holder's order is in progress; the model that it loads shows
-            // only once it is done.
+            // An earlier holder's order is in progress; the status shows the model that
+            // it loads only once the load is complete.
             return;
         }
         let models = status.models.iter().map(|hosted| hosted.id.clone());
@@ -260,7 +269,9 @@
         effects
     }
 
-    /// Returns the placement update for all VMs.
+    /// Returns the state of this planner's service for a placement update. `adapters`
+    /// lists all loaded adapters; the caller sets `number`, `is_complete` and
+    /// `removed`.
     #[must_use]
     pub fn update(&self, fence: u64, now: LocalTime) -> PlacementUpdate {
         let mut update = PlacementUpdate {
@@ -299,7 +310,7 @@
         update
     }
 
-    /// Returns whether requests wait for adapters.
+    /// Returns whether any request waits for an adapter.
     #[must_use]
     pub fn has_adapter_waits(&self) -> bool {
         !self.waits.is_empty()
--- a/crates/clementinepond_dispatch/src/place/planner/moves.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of models between engines.
+//! Moves: evictions and loads of models on engines.
 
 use super::{MoveTask, PlacementPlanner, PlannerEffect, PlannerInput};
 use crate::fleet::{EndpointEntry, EnginePolicy};
@@ -15,16 +15,18 @@
 const UNLOAD_NOTICE: TimeSpan = TimeSpan::from_millis(300);
 /// Maximum number of moves started by one search.
 const MAX_MOVES_PER_SEARCH: usize = 4;
-/// Time for which a model without a copy is expected to reappear: endpoints list
-/// themselves within a heartbeat of their start.
+/// Time for which a model without a copy is expected to reappear without a load, since
+/// endpoints list themselves within a heartbeat of their start.
 const LOST_MODEL_TIMEOUT: TimeSpan = TimeSpan::from_millis(2_500);
-/// The same for a model with demand.
+/// Time for which a model with demand but without a copy is expected to reappear
+/// without a load.
 const DEMANDED_MODEL_TIMEOUT: TimeSpan = TimeSpan::from_millis(250);
-/// Limit of concurrent loads, as a share of the store's rate times the longest load
-/// time; beyond it the store slows down all loads.
+/// Limit of concurrent moves that load from the weight store, as a share of the store's
+/// rate times the longest load time; beyond it the store slows down all loads.
 const STORE_CONCURRENCY_SHARE: f64 = 0.87;
 
 impl PlacementPlanner {
+    /// Sends the orders of the moves in progress that are due.
     pub(super) fn advance_moves(
         &mut self,
         input: &PlannerInput<'_>,
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Returns the next order of a move; drops a move that is complete or no longer
-    /// fits.
+    /// Returns the next order of a move; drops a move that is complete or whose model
+    /// no longer fits.
     fn move_step(
         &mut self,
         policy: &EnginePolicy,
@@ -61,18 +63,18 @@
             return None;
         }
         let tracker = self.trackers.get(&entry.id)?;
-        let is_under_way = tracker.loading.is_some() || tracker.unloading.is_some();
-        if is_under_way || !tracker.is_idle(now) || tracker.order_count.is_none() {
+        let is_order_in_progress = tracker.loading.is_some() || tracker.unloading.is_some();
+        if is_order_in_progress || !tracker.is_idle(now) || tracker.order_count.is_none() {
             return None;
         }
         if now < task.unload_from {
             return None;
         }
-        let leftover = task
+        let remaining = task
             .unload
             .iter()
             .find(|model| entry.hosted(model).is_some());
-        if let Some(model) = leftover {
+        if let Some(model) = remaining {
             return Some(EndpointOrder::UnloadModel(model.clone()));
         }
         let needed = policy
@@ -95,7 +97,7 @@
         Some(EndpointOrder::LoadModel(load))
     }
 
-    /// Records since when each model has had no copy.
+    /// Records since when no usable endpoint has listed each model.
     pub(super) fn record_lost_models(&mut self, input: &PlannerInput<'_>, now: LocalTime) {
         for profile in &input.policy.models {
             let is_held = input
@@ -110,6 +112,7 @@
         }
     }
 
+    /// Starts the moves that the current view allows.
     pub(super) fn search_moves(
         &mut self,
         input: &PlannerInput<'_>,
@@ -155,13 +158,13 @@
     fn view(&self, input: &PlannerInput<'_>, now: LocalTime) -> PlacementView {
         let index_of = |id: &ModelId| input.policy.models.iter().position(|one| one.id == *id);
         let is_return_expected = |id: &ModelId, has_demand: bool| {
-            let first_token_wait = if has_demand {
+            let timeout = if has_demand {
                 DEMANDED_MODEL_TIMEOUT
             } else {
                 LOST_MODEL_TIMEOUT
             };
             let since = self.lost_since.get(id);
-            since.is_none_or(|at| now.since(*at) < first_token_wait)
+            since.is_none_or(|at| now.since(*at) < timeout)
         };
         let models = input.policy.models.iter().map(|profile| {
             let demand = input.demand.get(&NameHash::of(profile.id.as_str()));
@@ -182,12 +185,13 @@
         let store_loads = self.moves.values().filter(|task| task.from_store).count();
         let longest = input.policy.models.iter().map(|one| one.store_load).max();
         let seconds = longest.map_or(0.0, |span| span.micros() as f64 / 1e6);
-        let at_once = (input.policy.loads_per_s * seconds * STORE_CONCURRENCY_SHARE).max(1.0);
+        let max_store_loads =
+            (input.policy.loads_per_s * seconds * STORE_CONCURRENCY_SHARE).max(1.0);
         let is_unlimited = input.policy.loads_per_s <= 0.0;
         PlacementView {
             engines: engines.collect(),
             models,
-            may_load_from_store: is_unlimited || (store_loads + 1) as f64 <= at_once,
+            may_load_from_store: is_unlimited || (store_loads + 1) as f64 <= max_store_loads,
         }
     }
 
@@ -234,7 +238,8 @@
     }
 }
 
-/// Returns the memory that stays free even if all pending orders succeed, in megabytes.
+/// Returns the memory that stays free even if all pending loads succeed and all adapter
+/// slots are taken by the largest adapter, in megabytes.
 fn free_mb(policy: &EnginePolicy, entry: &EndpointEntry, tracker: &OrderTracker) -> f64 {
     let size = |id: &ModelId| policy.model(id).map_or(0.0, |model| model.weights_mb);
     let held: f64 = tracker.possible_models(entry).iter().map(size).sum();
--- a/crates/clementinepond_dispatch/src/place/view.rs
+++ b/crates/clementinepond_dispatch/src/place/view.rs
@@ -9,13 +9,17 @@
     pub id: EndpointId,
     /// Whether the engine takes requests and orders.
     pub is_usable: bool,
-    /// Whether a move or an order is in progress or the engine's state is unknown.
+    /// Whether a move or a model load or unload is in progress, or the engine's status
+    /// must be read first.
     pub is_moving: bool,
-    /// Memory that stays free even if all pending orders succeed, in megabytes.
+    /// Memory that stays free even if all pending loads succeed and all adapter slots
+    /// are taken, in megabytes.
     pub free_mb: f64,
-    /// Models that serve and stay, as index into the models and age of the copy.
+    /// Models that the engine's entry lists and that are not about to be unloaded, as
+    /// index into the models and age of the copy.
     pub models: Vec<(usize, TimeSpan)>,
-    /// Models that the engine may come to hold, including those that serve.
+    /// Models that the engine holds or may come to hold, without those about to be
+    /// unloaded.
     pub possible: Vec<usize>,
     /// Models whose weights are in host memory.
     pub in_memory: Vec<usize>,
@@ -30,7 +34,7 @@
     pub id: ModelId,
     /// Size of the weights, in megabytes.
     pub weights_mb: f64,
-    /// Number of engines that the demand keeps busy.
+    /// Number of engines that the model's demand keeps busy.
     pub utilization: f64,
     /// Whether there is demand for the model.
     pub has_demand: bool,
--- a/crates/clementinepond_dispatch/src/quota/account_bucket.rs
+++ b/crates/clementinepond_dispatch/src/quota/account_bucket.rs
@@ -2,8 +2,8 @@
 
 use clementinepond_types::{LocalTime, TimeSpan};
 
-/// Refill time that use at peers may consume in advance, in seconds; bounds how long an
-/// account is refused after a partition heals.
+/// Largest debt from usage at peers beyond one burst, in seconds of refill; bounds how
+/// long an account is refused after a partition heals.
 const MAX_DEBT_S: f64 = 10.0;
 
 /// Token bucket of one account, in the units of its quota.
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Sets the rate and burst; units already spent remain spent.
+    /// Sets the rate and burst; units already spent remain spent, up to the new burst.
     pub fn set_quota(&mut self, rate_per_s: f64, burst: f64) {
         if self.rate_per_s == rate_per_s && self.burst == burst {
             return;
@@ -46,9 +46,9 @@
 
     /// Refills the bucket up to `now` with a share of the rate.
     pub fn refill(&mut self, share: f64, now: LocalTime) {
-        let passed = now.since(self.filled_at).micros() as f64 / 1e6;
+        let seconds = now.since(self.filled_at).micros() as f64 / 1e6;
         self.filled_at = now;
-        self.level = (self.level + passed * self.rate_per_s * share).min(self.burst);
+        self.level = (self.level + seconds * self.rate_per_s * share).min(self.burst);
     }
 
     /// Takes units if the bucket holds them; returns whether it did.
@@ -68,24 +68,26 @@
         self.level = (self.level - units).max(-debt_limit);
     }
 
-    /// Returns the units of a request that did not run to the bucket.
+    /// Puts back the units of a request that did not run.
     pub fn refund(&mut self, units: f64) {
         self.level = (self.level + units).min(self.burst);
     }
 
-    /// Lowers the level to that of a peer that has observed the account for longer.
+    /// Lowers the level to that of a peer that has tracked the account for longer;
+    /// never raises it.
     pub fn lower_to(&mut self, level: f64) {
         self.level = self.level.min(level);
     }
 
-    /// Returns the level, in units; negative after use at peers.
+    /// Returns the level, in units; may be negative, after usage at peers or a request
+    /// larger than the burst.
     #[must_use]
     pub const fn level(&self) -> f64 {
         self.level
     }
 
-    /// Returns the time until the bucket holds `units`; zero if it does already or
-    /// never refills.
+    /// Returns the time until the bucket holds `units`, or its burst if that is less,
+    /// at the full rate; zero if it does already or never refills.
     #[must_use]
     pub fn time_until(&self, units: f64) -> TimeSpan {
         let missing = units.min(self.burst) - self.level;
--- a/crates/clementinepond_dispatch/src/quota/rate_limiter.rs
+++ b/crates/clementinepond_dispatch/src/quota/rate_limiter.rs
@@ -21,12 +21,14 @@
 const DEMAND_DECAY_TIME_S: f64 = 2.0;
 /// Share of an account's rate above which its demand counts as heavy.
 const HEAVY_DEMAND_SHARE: f64 = 0.9;
-/// The same in a large fleet, where a sudden rise becomes known later.
+/// Share of an account's rate above which its demand counts as heavy in a large fleet,
+/// where a sudden rise becomes known later.
 const LARGE_FLEET_HEAVY_DEMAND_SHARE: f64 = 0.6;
-/// Smallest burst of a VM's own share, in multiples of the request's cost.
+/// Smallest burst of a VM's own share, in multiples of the cost of the charged request.
 const MIN_SHARE_BURST_REQUESTS: f64 = 1.0;
-/// Share of the rate used under heavy demand in a large fleet, where many VMs each
-/// round up to whole requests and exchange heartbeats once a second.
+/// Share of the rate used under heavy demand and without fresh usage in a large fleet,
+/// where many VMs each round up to whole requests and exchange heartbeats once a
+/// second.
 const LARGE_FLEET_RATE_SHARE: f64 = 0.9;
 /// Number of known peers from which a fleet counts as large.
 const LARGE_FLEET_MIN_PEERS: usize = 24;
@@ -35,15 +37,17 @@
 #[derive(Debug, Clone)]
 struct AccountState {
     bucket: AccountBucket,
-    /// Bucket for this VM's share of the quota: all of it unless usage at peers is not
-    /// known and demand is heavy or the account is new here.
+    /// Bucket for this VM's share of the quota. The share is the whole quota, unless
+    /// the known usage at peers is out of date and either demand is heavy or the
+    /// account is new here in a large fleet.
     share: AccountBucket,
     /// Units admitted here since the process started.
     admitted: f64,
     /// Moving average of the units requested here per second, including refused ones.
     requested_per_s: f64,
     demand_updated_at: LocalTime,
-    first_request_at: LocalTime,
+    /// Time of the first request here, or of the first usage known from a peer.
+    first_seen_at: LocalTime,
 }
 
 impl AccountState {
@@ -54,7 +58,7 @@
             admitted: 0.0,
             requested_per_s: 0.0,
             demand_updated_at: now,
-            first_request_at: now,
+            first_seen_at: now,
         }
     }
 
@@ -70,10 +74,10 @@
     }
 }
 
-/// Time after an account's first request in which a VM of a large fleet cannot know
-/// what others admit; about two heartbeat rounds.
+/// Time after an account first appears at a VM of a large fleet in which the VM cannot
+/// know what others admit; about two heartbeat rounds.
 const STARTUP_SHARE_DURATION: TimeSpan = TimeSpan::from_millis(2_500);
-/// Rate that a VM uses in that time, in multiples of an even share.
+/// Share of the quota that a VM uses in that time, in multiples of an even share.
 const STARTUP_SHARES: f64 = 1.5;
 
 /// Values of one account for this VM's heartbeat.
@@ -113,8 +117,8 @@
         }
     }
 
-    /// Sets the share of each rate that the live VMs may use, from the numbers of live
-    /// and known peers.
+    /// Sets the numbers of live and known peers, which determine the share of each rate
+    /// that the live VMs may use.
     pub fn set_live_peers(&mut self, live: usize, known: usize, now: LocalTime) {
         self.is_large_fleet = known >= LARGE_FLEET_MIN_PEERS;
         self.vms = known.max(live) + 1;
@@ -129,8 +133,8 @@
 
     /// Charges a request to an account.
     ///
-    /// `is_usage_fresh` states whether this VM's knowledge of its peers' usage is up to
-    /// date.
+    /// `is_usage_fresh` states whether the usage known from this VM's peers is up to
+    /// date. An account without a rate is always within its quota.
     pub fn charge(
         &mut self,
         policy: &AccountPolicy,
@@ -157,10 +161,11 @@
             HEAVY_DEMAND_SHARE
         };
         let is_heavy = own + remote > heavy_share * policy.rate_per_s;
-        // Under heavy demand and without fresh knowledge of the peers' usage, each VM
-        // is limited to its share of the demand.
+        // Without fresh usage of the peers, each VM of a large fleet is limited to
+        // about an even share of the quota at first, and any VM under heavy demand to
+        // its share of the demand.
         let is_startup =
-            self.is_large_fleet && now.since(account.first_request_at) < STARTUP_SHARE_DURATION;
+            self.is_large_fleet && now.since(account.first_seen_at) < STARTUP_SHARE_DURATION;
         let fraction = if is_usage_fresh {
             1.0
         } else if is_startup {
@@ -193,7 +198,7 @@
         QuotaVerdict::Over { retry_after }
     }
 
-    /// Returns the units of a request that did not run.
+    /// Puts back the units of a request that did not run.
     pub fn refund(&mut self, id: &AccountId, units: f64) {
         if let Some(account) = self.accounts.get_mut(id) {
             account.bucket.refund(units);
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Takes units that a peer has admitted.
+    /// Deducts units that a peer has admitted.
     pub fn record_remote(&mut self, policy: &AccountPolicy, units: f64, now: LocalTime) {
         let live_share = self.live_share;
         let account = self
@@ -218,7 +223,8 @@
         self.remote_demand = demand;
     }
 
-    /// Lowers an account's level to that of a peer; used when this VM has just started.
+    /// Lowers an account's level to that of a peer; used for a peer's first heartbeat
+    /// when this VM has just started.
     pub fn adopt_level(&mut self, policy: &AccountPolicy, level: f64, now: LocalTime) {
         self.accounts
             .entry(policy.id.clone())
@@ -227,7 +233,8 @@
             .lower_to(level);
     }
 
-    /// Returns the units admitted here for an account since the process started.
+    /// Returns the units admitted here for an account since the process started, less
+    /// refunds.
     #[must_use]
     pub fn admitted(&self, id: &AccountId) -> f64 {
         self.accounts
@@ -235,7 +242,8 @@
             .map_or(0.0, |account| account.admitted)
     }
 
-    /// Returns the level of this VM's copy of an account's bucket.
+    /// Returns the level of this VM's copy of an account's bucket, in units; zero for
+    /// an unknown account.
     #[must_use]
     pub fn level(&self, id: &AccountId) -> f64 {
         self.accounts
@@ -243,7 +251,7 @@
             .map_or(0.0, |account| account.bucket.level())
     }
 
-    /// Returns the current values of each account.
+    /// Returns the values of each account for this VM's heartbeat.
     pub fn snapshots(&self, now: LocalTime) -> impl Iterator<Item = (&AccountId, AccountSnapshot)> {
         self.accounts.iter().map(move |(id, account)| {
             let snapshot = AccountSnapshot {
--- a/crates/clementinepond_dispatch/src/select/engine_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/engine_choice.rs
@@ -1,16 +1,17 @@
-//! Selects a model engine by its predicted time to the first token.
+//! Selection of a model engine by its predicted time to the first token.
 //!
 //! With long prompts, most of a request's latency is the prefill queued ahead of it.
 //! Candidates are therefore compared by the prompt tokens that they still have to
 //! process, the part of this prompt in their prefix cache, and the occupancy of their
-//! slots and KV cache. A request that no engine can start in time is refused at once.
+//! slots and KV cache. A request that the selected engine cannot start in time is
+//! refused at once.
 
 use crate::fleet::{EndpointEntry, TokenDemand};
 use crate::health::HealthGrade;
 use crate::load::{EndpointLoad, PREFILL_TOKENS_PER_MS};
 use clementinepond_types::TimeSpan;
 
-/// Duration of one engine step, in milliseconds.
+/// Duration of one decode step of an engine, in milliseconds.
 const DECODE_STEP_MS: f64 = 6.0;
 /// Time to load an adapter into a free slot, in milliseconds.
 const ADAPTER_LOAD_MS: f64 = 35.0;
@@ -19,18 +20,19 @@
 /// Score penalty of an engine in another data centre, in milliseconds.
 const REMOTE_PENALTY_MS: f64 = 12.0;
 /// Score penalty of an engine that is unlisted or on trial, in milliseconds.
-const UNLISTED_PENALTY_MS: f64 = 400.0;
-/// Mean time until a slot becomes free when all are taken, in milliseconds.
+const UNLISTED_OR_TRIAL_PENALTY_MS: f64 = 400.0;
+/// Mean time for which a request occupies a slot, in milliseconds.
 const SLOT_OCCUPANCY_MS: f64 = 1_500.0;
-/// Predicted delay when the KV cache is overcommitted by its whole capacity, in
+/// Predicted delay per KV cache capacity requested beyond the soft limit, in
 /// milliseconds.
 const KV_OVERCOMMIT_PENALTY_MS: f64 = 4_000.0;
 /// Share of the KV cache up to which running requests do not evict each other.
 const KV_CACHE_SOFT_LIMIT: f64 = 0.9;
-/// Share of the remaining request time within which the first token must be predicted.
+/// Share of the time until the deadline of the complete answer within which the first
+/// token must be predicted to arrive.
 const DEADLINE_SHARE: f64 = 0.6;
-/// Share of the caller's first-token wait within which it must be predicted;
-/// predictions are off by a tenth when queues are long.
+/// Share of the time until the deadline of the first token within which it must be
+/// predicted to arrive; predictions are off by a tenth when queues are long.
 const FIRST_TOKEN_WAIT_SHARE: f64 = 0.85;
 
 /// Whether an engine can serve a request's adapter.
@@ -92,9 +94,11 @@
         /// Predicted time to the first token.
         first_token: TimeSpan,
     },
-    /// Refuse the request, since no engine can start it in time.
+    /// Refuse the request, since the selected engine is not predicted to start it in
+    /// time.
     Refuse {
-        /// Time after which a retry is expected to start in time.
+        /// Time by which the prediction exceeds the limit, after which a retry is
+        /// expected to start in time.
         retry_after: TimeSpan,
     },
     /// No engine holds the model.
@@ -124,7 +128,10 @@
 }
 
 /// Selects the engine with the lowest score: its predicted time to the first token plus
-/// penalties.
+/// penalties. Ejected engines are considered only if all are ejected.
+///
+/// The request is refused if the selected engine's prediction, without penalties,
+/// exceeds the limits set by the request's deadlines.
 #[must_use]
 pub fn choose_engine(candidates: &[EngineCandidate<'_>], request: &EngineRequest) -> EngineVerdict {
     let Some(best_grade) = candidates.iter().map(|candidate| candidate.grade).min() else {
@@ -141,7 +148,7 @@
             score += REMOTE_PENALTY_MS;
         }
         if candidate.is_unlisted || candidate.grade == HealthGrade::Trial {
-            score += UNLISTED_PENALTY_MS;
+            score += UNLISTED_OR_TRIAL_PENALTY_MS;
         }
         if best.is_none_or(|(lowest, ..)| score < lowest) {
             best = Some((score, first_token, index));
--- a/crates/clementinepond_dispatch/src/select/mod.rs
+++ b/crates/clementinepond_dispatch/src/select/mod.rs
@@ -1,4 +1,4 @@
-//! Selection of the endpoint for a request.
+//! Selection of the endpoint that a request is sent to.
 
 mod engine_choice;
 mod prefix_cache_index;
--- a/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
+++ b/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
@@ -1,7 +1,7 @@
-//! Estimate of the prompt blocks in each endpoint's prefix cache.
+//! Index of the prompt blocks in each endpoint's prefix cache.
 //!
-//! The index is built from requests sent to endpoints. A request's blocks are assumed
-//! to stay in the cache until newer ones evict them.
+//! The index is an estimate from the requests sent to endpoints. A request's blocks are
+//! assumed to stay in the cache until newer ones evict them.
 
 use crate::fleet::PromptBlock;
 use crate::load::NameHash;
@@ -10,7 +10,9 @@
 
 #[derive(Debug, Default)]
 struct CachedBlocks {
-    last_used: FnvHashMap<(NameHash, u64), (u64, LocalTime)>,
+    /// Tokens and last use of each block, by the hash of the weights and the block ID.
+    blocks: FnvHashMap<(NameHash, u64), (u64, LocalTime)>,
+    /// Sum of the blocks' tokens.
     tokens: u64,
 }
 
@@ -21,9 +23,11 @@
 }
 
 impl PrefixCacheIndex {
-    /// Records that an endpoint has processed a prompt.
+    /// Records that a prompt is being sent to an endpoint; its blocks count as cached
+    /// from now on.
     ///
-    /// `capacity` is the size of the endpoint's cache, in tokens.
+    /// `weights` is the hash of the model, or of the model and adapter, under which the
+    /// blocks are cached; `capacity` is the size of the endpoint's cache, in tokens.
     pub fn record_prefill(
         &mut self,
         endpoint: NameHash,
@@ -35,7 +39,7 @@
         let cached = self.endpoints.entry(endpoint).or_default();
         for block in blocks {
             let before = cached
-                .last_used
+                .blocks
                 .insert((weights, block.id), (block.tokens, now));
             if before.is_none() {
                 cached.tokens += block.tokens;
@@ -60,7 +64,7 @@
         };
         blocks
             .iter()
-            .take_while(|block| cached.last_used.contains_key(&(weights, block.id)))
+            .take_while(|block| cached.blocks.contains_key(&(weights, block.id)))
             .map(|block| block.tokens)
             .sum()
     }
@@ -76,7 +80,7 @@
     /// taken.
     fn evict(&mut self, capacity: u64) {
         let mut oldest: Vec<_> = self
-            .last_used
+            .blocks
             .iter()
             .map(|(key, (tokens, at))| (*at, *key, *tokens))
             .collect();
@@ -85,7 +89,7 @@
             if self.tokens <= capacity / 2 {
                 break;
             }
-            self.last_used.remove(&key);
+            self.blocks.remove(&key);
             self.tokens -= tokens;
         }
     }
--- a/crates/clementinepond_dispatch/src/select/service_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/service_choice.rs
@@ -1,4 +1,4 @@
-//! Selects an endpoint of a service without models by its queue.
+//! Selection of an endpoint of a service without models by its predicted wait.
 
 use crate::fleet::EndpointEntry;
 use crate::health::HealthGrade;
@@ -38,7 +38,8 @@
         /// Index into the candidates.
         index: usize,
     },
-    /// Refuse the request, since no endpoint can finish it in time.
+    /// Refuse the request, since the selected endpoint is not predicted to finish it in
+    /// time.
     Refuse {
         /// Time after which a retry is expected to finish in time; at least 50 ms.
         retry_after: TimeSpan,
@@ -47,14 +48,15 @@
     NoEndpoint,
 }
 
-fn wait_ms(candidate: &ServiceCandidate<'_>) -> f64 {
+/// Returns the predicted wait for a slot, in milliseconds.
+fn slot_wait_ms(candidate: &ServiceCandidate<'_>) -> f64 {
     let slots = candidate.endpoint.slots.max(1);
     let over_slots = f64::from((candidate.load.runs + 1).saturating_sub(slots));
     over_slots * candidate.service_time_ms / f64::from(slots)
 }
 
 /// Selects the endpoint with the lowest score for a request that must end within
-/// `time_left`.
+/// `time_left`, among those with the best health grade.
 #[must_use]
 pub fn choose_service_endpoint(
     candidates: &[ServiceCandidate<'_>],
@@ -69,7 +71,7 @@
             continue;
         }
         let mut score =
-            wait_ms(candidate) + RUNNING_REQUEST_PENALTY_MS * f64::from(candidate.load.runs);
+            slot_wait_ms(candidate) + RUNNING_REQUEST_PENALTY_MS * f64::from(candidate.load.runs);
         if !candidate.is_local {
             score += REMOTE_PENALTY_MS;
         }
@@ -84,10 +86,10 @@
         return ServiceVerdict::NoEndpoint;
     };
     let candidate = &candidates[index];
-    let needed = wait_ms(candidate) + candidate.service_time_ms;
-    let left = time_left.millis() as f64;
-    if needed > left {
-        let retry_after = TimeSpan::from_millis((needed - left).max(50.0) as u64);
+    let needed_ms = slot_wait_ms(candidate) + candidate.service_time_ms;
+    let left_ms = time_left.millis() as f64;
+    if needed_ms > left_ms {
+        let retry_after = TimeSpan::from_millis((needed_ms - left_ms).max(50.0) as u64);
         return ServiceVerdict::Refuse { retry_after };
     }
     ServiceVerdict::Send { index }
--- a/crates/clementinepond_dispatch/src/select/stream_stall.rs
+++ b/crates/clementinepond_dispatch/src/select/stream_stall.rs
@@ -1,4 +1,4 @@
-//! Stall timeout of streams, after which callers disconnect.
+//! Stall timeout of streams: the time without an event after which callers disconnect.
 //!
 //! Under overload, a request whose first token would come after its caller has
 //! disconnected only delays other requests. The timeout lets such requests be refused
@@ -15,7 +15,7 @@
 /// Stall timeout as a multiple of the route's pause target.
 const PAUSE_TARGET_FACTOR: u64 = 8;
 
-/// Returns the time without an event after which callers abandon a stream.
+/// Returns the time without an event after which callers disconnect from a stream.
 #[must_use]
 pub fn stream_stall_timeout(route: &RoutePolicy) -> TimeSpan {
     let pause = route.pause_target.unwrap_or(TimeSpan::ZERO);
--- a/crates/clementinepond_dispatch/src/suspect/mod.rs
+++ b/crates/clementinepond_dispatch/src/suspect/mod.rs
@@ -11,19 +11,21 @@
 const CRASH_LIMIT: u32 = 2;
 /// Time since the last crash for which a request stays blocked.
 const CRASH_RETENTION: TimeSpan = TimeSpan::from_secs(120);
-/// Number of fingerprints from which expired ones are removed.
-const FINGERPRINT_LIMIT: usize = 4_096;
+/// Number of known fingerprints from which each new crash first removes the expired
+/// ones.
+const CLEANUP_MIN_FINGERPRINTS: usize = 4_096;
 
 /// Crash counts by request fingerprint.
 #[derive(Debug, Default)]
 pub struct CrashSuspects {
+    /// Number of crashes and time of the last one, by fingerprint.
     crashes: FnvHashMap<u64, (u32, LocalTime)>,
 }
 
 impl CrashSuspects {
-    /// Counts a crash; returns the request's crash count.
+    /// Counts a crash; returns the number of crashes counted for the request.
     pub fn record_crash(&mut self, fingerprint: u64, now: LocalTime) -> u32 {
-        if self.crashes.len() >= FINGERPRINT_LIMIT {
+        if self.crashes.len() >= CLEANUP_MIN_FINGERPRINTS {
             self.crashes
                 .retain(|_, (_, at)| now.since(*at) < CRASH_RETENTION);
         }
--- a/crates/clementinepond_dispatch/src/table/mod.rs
+++ b/crates/clementinepond_dispatch/src/table/mod.rs
@@ -62,7 +62,8 @@
         &self.policy
     }
 
-    /// Returns the route of the host with the longest matching path prefix.
+    /// Returns the route of the host with the longest matching path prefix; a port in
+    /// `host` is ignored.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&RoutePolicy> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -74,7 +75,7 @@
             .find(|route| path.starts_with(&*route.path_prefix))
     }
 
-    /// Checks a request's key for a route.
+    /// Checks the key of a request for a route.
     #[must_use]
     pub fn check_key(&self, route: &RoutePolicy, key: Option<&KeyDigest>) -> KeyCheck<'_> {
         let found = key.and_then(|digest| self.account_by_key.get(digest));
@@ -99,7 +100,8 @@
     }
 }
 
-/// Returns a service of the route, selected by weight with the random number `draw`.
+/// Returns a service of the route, selected by weight with the random number `draw`;
+/// the first one when all weights are zero, `None` without targets.
 #[must_use]
 pub fn pick_service(route: &RoutePolicy, draw: u32) -> Option<&ServiceId> {
     let total: u32 = route.targets.iter().map(|target| target.weight).sum();
--- a/crates/clementinepond_dispatch/tests/directory.rs
+++ b/crates/clementinepond_dispatch/tests/directory.rs
@@ -1,5 +1,4 @@
-//! Endpoint directory: updates from lists and watches, draining, expiry and outdated
-//! changes.
+//! Endpoint directory: updates, draining, expiry and outdated changes.
 
 #![allow(clippy::unwrap_used, reason = "a test stops at the first error")]
 
--- a/crates/clementinepond_dispatch/tests/herding.rs
+++ b/crates/clementinepond_dispatch/tests/herding.rs
@@ -1,6 +1,6 @@
-//! Herding of VMs that select among the same engines: with load known only from
-//! periodic heartbeats, VMs choose the same engine until the next one; announcing each
-//! request at once prevents this.
+//! Herding of VMs that select among the same engines: if they know each other's load
+//! only from periodic heartbeats, they all choose the same engine until the next
+//! heartbeat. Announcing each request at once prevents this.
 
 #![allow(
     clippy::unwrap_used,
@@ -23,7 +23,7 @@
 
 const VMS: usize = 40;
 const ENGINES: usize = 12;
-/// Uncached prompt tokens of each request.
+/// Number of uncached prompt tokens of each request.
 const UNCACHED_TOKENS: u32 = 4_000;
 /// Time that an engine takes to process them, in microseconds.
 const PREFILL_US: u64 = 133_000;
@@ -79,8 +79,8 @@
     }
 }
 
-/// Simulates requests whose announcements arrive after a delay; returns the share with
-/// a first token within the target.
+/// Simulates requests whose announcements arrive after a delay; returns the share of
+/// requests with a first token within the target.
 fn simulate(announcement_delay: TimeSpan) -> f64 {
     let engines: Vec<EndpointEntry> = (0..ENGINES)
         .map(|index| entry(&format!("e{index}"), &["m0"]))
@@ -89,7 +89,7 @@
     let mut sent: VecDeque<Announcement> = VecDeque::new();
     let mut free_at = [0_u64; ENGINES];
     // Slots and KV cache never limit the choice in this simulation.
-    let share = EndpointLoad::default();
+    let load = EndpointLoad::default();
     let mut in_time = 0;
     for number in 0..REQUESTS {
         let micros = number * REQUEST_INTERVAL_US;
@@ -99,13 +99,13 @@
             let key = NameHash::of(engines[next.engine].id.as_str());
             let others = tables.iter_mut().enumerate();
             for (_, table) in others.filter(|(index, _)| *index != next.from) {
-                table.start_remote(&vm(next.from), key, share, UNCACHED_TOKENS, next.due);
+                table.start_remote(&vm(next.from), key, load, UNCACHED_TOKENS, next.due);
             }
         }
         let from = (rendezvous_weight(number, "caller") % VMS as u64) as usize;
         let engine = choose(&tables[from], &engines, now);
         let key = NameHash::of(engines[engine].id.as_str());
-        tables[from].start(key, share);
+        tables[from].start(key, load);
         tables[from].start_prefill(key, UNCACHED_TOKENS, now);
         sent.push_back(Announcement {
             due: now + announcement_delay,
@@ -116,23 +116,24 @@
         if free_at[engine] - micros <= FIRST_TOKEN_TARGET_US {
             in_time += 1;
         }
-        // Ends the VM's own count at once; the prefill queue still holds the tokens.
+        // Ends the request in the VM's own counts at once; the estimated prefill queue
+        // still holds its tokens.
         tables[from].finish_prefill(key, UNCACHED_TOKENS);
-        tables[from].finish(key, share);
+        tables[from].finish(key, load);
     }
     f64::from(in_time) / REQUESTS as f64
 }
 
 #[test]
 fn immediate_announcements_prevent_herding() {
-    let at_once = simulate(TimeSpan::from_millis(3));
+    let with_announcements = simulate(TimeSpan::from_millis(3));
     let with_heartbeats = simulate(TimeSpan::from_millis(750));
     assert!(
-        at_once > 0.99,
-        "{at_once} of the requests in time with immediate announcements"
+        with_announcements > 0.99,
+        "{with_announcements} of the requests in time with immediate announcements"
     );
     assert!(
-        with_heartbeats < at_once - 0.2,
+        with_heartbeats < with_announcements - 0.2,
         "{with_heartbeats} of the requests in time with heartbeats only"
     );
 }
@@ -141,18 +142,18 @@
 fn prefill_queue_drains_at_prefill_rate() {
     let mut table = LoadTable::default();
     let key = NameHash::of("e0");
-    let share = EndpointLoad {
+    let load = EndpointLoad {
         runs: 1,
         context_tokens: 9_000,
     };
     let start = LocalTime::from_micros(1_000_000);
-    table.start_remote(&vm(1), key, share, 9_000, start);
+    table.start_remote(&vm(1), key, load, 9_000, start);
     assert_eq!(table.pending_prefill(key, start), 9_000.0);
     let later = start + TimeSpan::from_millis(100);
     assert_eq!(table.pending_prefill(key, later), 6_000.0);
     // This VM's requests without a first token count even when the estimated queue is
     // empty.
-    table.start(key, share);
+    table.start(key, load);
     table.start_prefill(key, 500, later);
     let much_later = start + TimeSpan::from_secs(5);
     assert_eq!(table.pending_prefill(key, much_later), 500.0);
@@ -164,15 +165,15 @@
 fn heartbeat_replaces_announced_requests() {
     let mut table = LoadTable::default();
     let key = NameHash::of("e0");
-    let share = EndpointLoad {
+    let load = EndpointLoad {
         runs: 1,
         context_tokens: 100,
     };
     let now = LocalTime::from_micros(1);
-    table.set_peer(&vm(1), vec![(key, share)]);
-    table.start_remote(&vm(1), key, share, 0, now);
+    table.set_peer(&vm(1), vec![(key, load)]);
+    table.start_remote(&vm(1), key, load, 0, now);
     assert_eq!(table.total(key).runs, 2);
-    table.set_peer(&vm(1), vec![(key, share)]);
+    table.set_peer(&vm(1), vec![(key, load)]);
     assert_eq!(table.total(key).runs, 1);
     table.forget_peer(&vm(1));
     assert_eq!(table.total(key), EndpointLoad::default());
--- a/crates/clementinepond_dispatch/tests/lease.rs
+++ b/crates/clementinepond_dispatch/tests/lease.rs
@@ -10,14 +10,15 @@
 use clementinepond_types::{LocalTime, TimeSpan, VmId};
 use support::at;
 
-const GAP: TimeSpan = TimeSpan::from_secs(3);
+/// Minimum gap between the orders of two holders.
+const ORDER_GAP: TimeSpan = TimeSpan::from_secs(3);
 
 fn vm(name: &str) -> VmId {
     name.parse().unwrap()
 }
 
 fn lease(name: &str, incarnation: u64) -> PlacementLease {
-    PlacementLease::new(vm(name), incarnation, GAP, TimeSpan::ZERO, at(0))
+    PlacementLease::new(vm(name), incarnation, ORDER_GAP, TimeSpan::ZERO, at(0))
 }
 
 fn held_by(name: &str, incarnation: u64, revision: u64) -> StoredLease {
@@ -42,6 +43,8 @@
     )
 }
 
+/// Ticks a lease from `from` on until it writes the object, and confirms the write;
+/// returns the time of the write, both in milliseconds.
 fn acquire(lease: &mut PlacementLease, stored: StoredLease, from: u64) -> u64 {
     assert_eq!(tick(lease, at(from)), [LeaseEffect::Read]);
     lease.reduce(LeaseEvent::Read(stored), at(from + 4));
@@ -75,7 +78,7 @@
 }
 
 #[test]
-fn successor_waits_for_lease_duration_and_gap() {
+fn successor_waits_for_lease_duration_and_order_gap() {
     let mut lease = lease("vm-2", 2);
     let taken = acquire(&mut lease, held_by("vm-1", 1, 50), 0);
     assert!(
@@ -125,7 +128,7 @@
     let (lease, taken) = held_lease();
     let end = taken + LEASE_DURATION.millis();
     assert!(lease.fence(at(end - 400)).is_some());
-    // A VM that was suspended past the end of its lease wakes up.
+    // The VM was suspended until after the end of its lease.
     assert_eq!(lease.fence(at(end)), None);
     assert_eq!(lease.held_fence(at(end + 100)), None);
 }
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn lease_reported_expired_is_taken_with_gap_only() {
+fn lease_reported_expired_is_taken_at_once_with_order_gap() {
     let mut lease = lease("vm-2", 2);
     tick(&mut lease, at(0));
     lease.reduce(LeaseEvent::Read(held_by("vm-1", 1, 50)), at(4));
--- a/crates/clementinepond_dispatch/tests/limits.rs
+++ b/crates/clementinepond_dispatch/tests/limits.rs
@@ -23,9 +23,9 @@
     }
 }
 
-/// Simulates VMs that each take as many units as they are granted; returns the units
-/// taken.
-fn simulate(vms: usize, seconds: u64, links: impl Fn(u64, usize, usize) -> bool) -> f64 {
+/// Simulates VMs that each take as many units as they are granted and send their usage
+/// to connected VMs every 150 ms; returns the units taken.
+fn simulate(vms: usize, seconds: u64, is_connected: impl Fn(u64, usize, usize) -> bool) -> f64 {
     let policy = account(1_000.0, 1_000.0);
     let mut limiters: Vec<RateLimiter> = (0..vms).map(|_| RateLimiter::new()).collect();
     let mut taken = vec![0.0; vms];
@@ -43,7 +43,7 @@
         for to in 0..vms {
             let mut live = 0;
             for from in (0..vms).filter(|&from| from != to) {
-                if links(step * 10, from, to) {
+                if is_connected(step * 10, from, to) {
                     live += 1;
                     let units = taken[from] - announced[to][from];
                     announced[to][from] = taken[from];
@@ -171,8 +171,9 @@
 }
 
 /// Simulates a large fleet whose VMs announce each request at once; returns the units
-/// requested and taken. Callers select VMs at random and do not retry.
-fn simulate_immediate_announcements(requested_of_rate: f64, seconds: u64) -> (f64, f64) {
+/// requested and taken. Callers select VMs at random and do not retry. `demand_ratio`
+/// is the requested rate as a multiple of the account's rate.
+fn simulate_immediate_announcements(demand_ratio: f64, seconds: u64) -> (f64, f64) {
     const VMS: usize = 60;
     const COST: f64 = 9_000.0;
     let policy = account(90_000.0, 90_000.0);
@@ -180,11 +181,11 @@
     for limiter in &mut limiters {
         limiter.set_live_peers(VMS - 1, VMS - 1, at(0));
     }
-    let gap_ms = COST / (policy.rate_per_s * requested_of_rate) * 1e3;
-    let count = (seconds as f64 * 1e3 / gap_ms) as u64;
+    let interval_ms = COST / (policy.rate_per_s * demand_ratio) * 1e3;
+    let count = (seconds as f64 * 1e3 / interval_ms) as u64;
     let (mut requested, mut taken) = (0.0, 0.0);
     for number in 0..count {
-        let millis = (number as f64 * gap_ms) as u64;
+        let millis = (number as f64 * interval_ms) as u64;
         let vm = (rendezvous_weight(number, "caller") % VMS as u64) as usize;
         requested += COST;
         if limiters[vm].charge(&policy, COST, true, at(millis)) != QuotaVerdict::Within {
@@ -225,8 +226,9 @@
 
 #[test]
 fn account_within_rate_is_refused_without_fresh_usage() {
-    // Without fresh usage, each VM falls back to its own share. The refusals are the
-    // cost of that; the shares are needed for partitioned fleets.
+    // Without fresh usage, each VM is limited to its own share, which keeps a
+    // partitioned fleet within the rate. The price is that an account within its rate
+    // is refused.
     let policy = account(90_000.0, 90_000.0);
     let mut limiter = RateLimiter::new();
     limiter.set_live_peers(59, 59, at(0));
--- a/crates/clementinepond_dispatch/tests/peers.rs
+++ b/crates/clementinepond_dispatch/tests/peers.rs
@@ -51,9 +51,9 @@
 }
 
 fn watchers(tables: &[PeerTable], links: &[u32]) -> Vec<usize> {
-    let home = "dc-a".parse().unwrap();
+    let data_centre = "dc-a".parse().unwrap();
     (0..tables.len())
-        .filter(|&me| tables[me].is_watcher(&vm(me), links[me], &home, at(10)))
+        .filter(|&me| tables[me].is_watcher(&vm(me), links[me], &data_centre, at(10)))
         .collect()
 }
 
@@ -76,21 +76,21 @@
 fn watcher_without_store_is_replaced() {
     let links = [100; 30];
     let mut tables = fleet(&links);
-    let lost = watchers(&tables, &links)[0];
+    let failed = watchers(&tables, &links)[0];
     for (me, table) in tables.iter_mut().enumerate() {
-        if me != lost {
-            let mut failing = heartbeat(2, 100);
-            failing.has_store = false;
-            table.record_heartbeat(&vm(lost), address(), failing, at(5));
+        if me != failed {
+            let mut without_store = heartbeat(2, 100);
+            without_store.has_store = false;
+            table.record_heartbeat(&vm(failed), address(), without_store, at(5));
         }
     }
-    let now = watchers(&tables, &links);
-    // The VM that lost the store keeps trying; two others watch.
-    assert_eq!(now.iter().filter(|one| **one != lost).count(), 2);
+    let current = watchers(&tables, &links);
+    // The VM that lost the store still ranks itself as a watcher; two others watch.
+    assert_eq!(current.iter().filter(|me| **me != failed).count(), 2);
 }
 
 #[test]
-fn silent_peer_is_not_live_and_later_removed() {
+fn peer_out_of_contact_is_not_live_and_later_removed() {
     let mut table = fleet(&[100; 3]).remove(0);
     assert_eq!(table.peer_counts(at(100)), (2, 2));
     assert_eq!(table.peer_counts(at(3_000)), (0, 2));
@@ -101,7 +101,7 @@
 #[test]
 fn late_heartbeat_is_dropped_and_new_process_counts_from_zero() {
     let mut table = PeerTable::default();
-    let with = |number: u64, incarnation: u64, admitted: u64| {
+    let heartbeat_with = |number: u64, incarnation: u64, admitted: u64| {
         let mut heartbeat = heartbeat(number, 100);
         heartbeat.incarnation = incarnation;
         heartbeat.accounts = vec![AccountUsage {
@@ -113,13 +113,13 @@
         heartbeat
     };
     let mut units = |heartbeat: Box<PeerHeartbeat>| {
-        let uses = table.record_heartbeat(&vm(1), address(), heartbeat, at(0));
-        uses.map(|uses| uses[0].units)
+        let usages = table.record_heartbeat(&vm(1), address(), heartbeat, at(0));
+        usages.map(|usages| usages[0].units)
     };
-    assert_eq!(units(with(1, 1, 100)), Some(100.0));
-    assert_eq!(units(with(3, 1, 150)), Some(50.0));
-    assert_eq!(units(with(2, 1, 120)), None);
-    assert_eq!(units(with(1, 2, 30)), Some(30.0));
+    assert_eq!(units(heartbeat_with(1, 1, 100)), Some(100.0));
+    assert_eq!(units(heartbeat_with(3, 1, 150)), Some(50.0));
+    assert_eq!(units(heartbeat_with(2, 1, 120)), None);
+    assert_eq!(units(heartbeat_with(1, 2, 30)), Some(30.0));
 }
 
 #[test]
@@ -151,7 +151,7 @@
     for index in 1..=8 {
         table.learn(&vm(index), address(), at(0));
     }
-    // Peers that are known only by address do not count.
+    // Peers that are known only by address are not in contact.
     assert!(!table.is_usage_fresh(at(0)));
     for index in 1..=8 {
         table.record_heartbeat(&vm(index), address(), heartbeat(1, 100), at(0));
@@ -161,7 +161,7 @@
         table.record_contact(&vm(index), 1, at(900));
     }
     assert!(table.is_usage_fresh(at(1_000)));
-    // Two more peers are out of contact.
+    // Four of the eight peers are in contact, fewer than three quarters.
     for index in 1..=4 {
         table.record_contact(&vm(index), 1, at(1_900));
     }
--- a/crates/clementinepond_dispatch/tests/placement.rs
+++ b/crates/clementinepond_dispatch/tests/placement.rs
@@ -53,9 +53,9 @@
 
 #[test]
 fn model_expected_to_reappear_is_not_loaded() {
-    let mut awaited = model("m1", 0.0);
-    awaited.is_return_expected = true;
-    let models = vec![model("m0", 0.01), awaited];
+    let mut returning = model("m1", 0.0);
+    returning.is_return_expected = true;
+    let models = vec![model("m0", 0.01), returning];
     assert_eq!(
         choose_move(&view(vec![engine("e1", &[0], 80_000.0)], models)),
         None
@@ -78,7 +78,8 @@
 
 #[test]
 fn copy_is_evicted_only_for_clearly_busier_model() {
-    // m1 would reach a utilization of 0.5 per copy, which is too close to m0's 0.6.
+    // With one copy left, m1 would reach a utilization of 0.5 per copy, which is more
+    // than 0.6 of m0's 0.6.
     let even = vec![model("m0", 0.6), model("m1", 0.5)];
     let engines = || {
         vec![
@@ -124,10 +125,14 @@
 
 #[test]
 fn last_copy_is_not_selected_for_eviction() {
-    // Neither for a model without a copy nor for one with far more demand.
+    // A model without a copy does not evict it.
     let engines = vec![engine("e1", &[0], 0.0)];
-    let lost = vec![model("m0", 0.5), model("m1", 9.0)];
-    assert_eq!(choose_move(&view(engines.clone(), lost)), None);
+    let other_without_copy = vec![model("m0", 0.5), model("m1", 9.0)];
+    assert_eq!(
+        choose_move(&view(engines.clone(), other_without_copy)),
+        None
+    );
+    // Nor does a model with far more demand.
     let mut both = engines;
     both.push(engine("e2", &[1], 0.0));
     let overloaded = vec![model("m0", 0.01), model("m1", 9.0)];
--- a/crates/clementinepond_dispatch/tests/planner.rs
+++ b/crates/clementinepond_dispatch/tests/planner.rs
@@ -19,15 +19,15 @@
 use fnv::FnvHashMap;
 use support::{at, engine_policy, entry, model};
 
-/// Planner with the fleet and the demand that it sees.
-struct Bench {
+/// Planner with its input: one service's engine policy, endpoints and demand.
+struct PlannerFixture {
     planner: PlacementPlanner,
     policy: EnginePolicy,
     endpoints: Vec<EndpointEntry>,
     demand: FnvHashMap<NameHash, ModelDemand>,
 }
 
-impl Bench {
+impl PlannerFixture {
     fn new(policy: EnginePolicy, endpoints: Vec<EndpointEntry>) -> Self {
         Self {
             planner: PlacementPlanner::new(at(0)),
@@ -37,7 +37,7 @@
         }
     }
 
-    fn want(&mut self, name: &str, prefill_per_s: f32) {
+    fn set_demand(&mut self, name: &str, prefill_per_s: f32) {
         let demand = ModelDemand {
             prefill_per_s,
             output_per_s: 0.0,
@@ -55,7 +55,8 @@
         self.planner.step(&input, at(millis))
     }
 
-    /// Steps the planner until it sends an order; returns it with the time.
+    /// Steps the planner every 20 ms until it sends an order; returns the time in
+    /// milliseconds and the order.
     fn next_order(&mut self, from: u64, to: u64) -> Option<(u64, SentOrder)> {
         (from..to).step_by(20).find_map(|millis| {
             let sent = self
@@ -96,66 +97,66 @@
     }
 }
 
-/// Returns a bench with one engine whose status is known, a VM, and the engine's
+/// Returns a fixture with one engine whose status is known, a VM ID, and the engine's
 /// endpoint ID.
-fn bench_with_one_engine() -> (Bench, VmId, EndpointId) {
+fn fixture_with_one_engine() -> (PlannerFixture, VmId, EndpointId) {
     let policy = engine_policy(&[("m0", 72_700.0)]);
-    let mut bench = Bench::new(policy, vec![entry("e1", &["m0"])]);
-    let endpoint = bench.endpoints[0].id.clone();
-    bench.step(0);
-    bench.step(600);
-    bench.status(0, &["m0"], false, 0, 700);
-    (bench, "vm-1".parse().unwrap(), endpoint)
+    let mut fixture = PlannerFixture::new(policy, vec![entry("e1", &["m0"])]);
+    let endpoint = fixture.endpoints[0].id.clone();
+    fixture.step(0);
+    fixture.step(600);
+    fixture.status(0, &["m0"], false, 0, 700);
+    (fixture, "vm-1".parse().unwrap(), endpoint)
 }
 
 #[test]
 fn new_holder_reads_status_before_ordering() {
     let policy = engine_policy(&[("m0", 72_700.0), ("m1", 72_700.0)]);
-    let mut bench = Bench::new(policy, vec![entry("e1", &["m0"])]);
-    bench.want("m1", 10_000.0);
-    assert_eq!(bench.next_order(0, 3_000), None);
-    let reads_status = bench
+    let mut fixture = PlannerFixture::new(policy, vec![entry("e1", &["m0"])]);
+    fixture.set_demand("m1", 10_000.0);
+    assert_eq!(fixture.next_order(0, 3_000), None);
+    let is_status_read = fixture
         .step(3_100)
         .into_iter()
         .any(|effect| matches!(effect, PlannerEffect::ReadStatus { .. }));
-    assert!(reads_status);
+    assert!(is_status_read);
 }
 
 #[test]
 fn load_of_earlier_holder_keeps_memory_reserved() {
     let policy = engine_policy(&[("m0", 72_700.0), ("m1", 72_700.0), ("m2", 72_700.0)]);
-    let mut bench = Bench::new(policy, vec![entry("e1", &["m0"])]);
-    bench.want("m2", 50_000.0);
-    bench.step(0);
-    bench.step(600);
-    bench.status(0, &["m0"], true, 3, 700);
+    let mut fixture = PlannerFixture::new(policy, vec![entry("e1", &["m0"])]);
+    fixture.set_demand("m2", 50_000.0);
+    fixture.step(0);
+    fixture.step(600);
+    fixture.status(0, &["m0"], true, 3, 700);
     // The endpoint is busy with an order of the earlier holder; what it loads is not
     // known.
-    assert_eq!(bench.next_order(720, 2_000), None);
+    assert_eq!(fixture.next_order(720, 2_000), None);
     // The status lists the model before the entry does.
-    bench.status(0, &["m0", "m1"], false, 3, 2_000);
-    assert_eq!(bench.next_order(2_020, 6_000), None);
+    fixture.status(0, &["m0", "m1"], false, 3, 2_000);
+    assert_eq!(fixture.next_order(2_020, 6_000), None);
 }
 
 #[test]
 fn load_of_unknown_outcome_keeps_memory_reserved() {
     let policy = engine_policy(&[("m0", 72_700.0), ("m1", 72_700.0), ("m2", 72_700.0)]);
-    let mut bench = Bench::new(policy, vec![entry("e1", &["m0"])]);
-    bench.want("m1", 50_000.0);
-    bench.step(0);
-    bench.step(600);
-    bench.status(0, &["m0"], false, 0, 700);
-    let (millis, first) = bench.next_order(720, 6_000).unwrap();
+    let mut fixture = PlannerFixture::new(policy, vec![entry("e1", &["m0"])]);
+    fixture.set_demand("m1", 50_000.0);
+    fixture.step(0);
+    fixture.step(600);
+    fixture.status(0, &["m0"], false, 0, 700);
+    let (millis, first) = fixture.next_order(720, 6_000).unwrap();
     assert_eq!(first.order, EndpointOrder::LoadModel(model("m1")));
-    bench.reply(&first, OrderReply::Unknown, millis + 400);
-    bench.want("m1", 0.0);
-    bench.want("m2", 90_000.0);
-    // Every later order carries the same condition, so that at most one is performed;
-    // another model does not fit in addition to the unresolved load.
-    while let Some((millis, sent)) = bench.next_order(millis + 420, millis + 8_000) {
+    fixture.reply(&first, OrderReply::Unknown, millis + 400);
+    fixture.set_demand("m1", 0.0);
+    fixture.set_demand("m2", 90_000.0);
+    // Every later order carries the same order count, so that at most one is performed.
+    // Another model would not fit in addition to the load of unknown outcome.
+    while let Some((millis, sent)) = fixture.next_order(millis + 420, millis + 8_000) {
         assert_eq!(sent.after, first.after);
         assert_eq!(sent.order, EndpointOrder::LoadModel(model("m1")));
-        bench.reply(&sent, OrderReply::Unknown, millis + 400);
+        fixture.reply(&sent, OrderReply::Unknown, millis + 400);
         if millis > 9_000 {
             break;
         }
@@ -164,56 +165,56 @@
 
 #[test]
 fn unload_of_idle_adapter_counts_as_order() {
-    let (mut bench, vm, endpoint) = bench_with_one_engine();
+    let (mut fixture, vm, endpoint) = fixture_with_one_engine();
     let mut millis = 720;
     let mut count = 0;
     for name in ["a1", "a2", "a3"] {
         let adapter = name.parse().unwrap();
-        bench
+        fixture
             .planner
             .request_adapter(&vm, &endpoint, &model("m0"), &adapter, at(millis));
-        let (sent_at, mut sent) = bench.next_order(millis, millis + 1_000).unwrap();
+        let (sent_at, mut sent) = fixture.next_order(millis, millis + 1_000).unwrap();
         millis = sent_at;
         if let EndpointOrder::UnloadAdapter(..) = sent.order {
             assert_eq!(sent.after, count);
-            bench.reply(&sent, OrderReply::Holds, millis + 2);
+            fixture.reply(&sent, OrderReply::Holds, millis + 2);
             count += 1;
-            let (sent_at, next) = bench.next_order(millis + 4, millis + 1_000).unwrap();
+            let (sent_at, next) = fixture.next_order(millis + 4, millis + 1_000).unwrap();
             millis = sent_at;
             sent = next;
         }
         assert_eq!(sent.after, count, "order count of the order for {name}");
         assert!(matches!(sent.order, EndpointOrder::LoadAdapter(..)));
-        bench.reply(&sent, OrderReply::Accepted, millis + 2);
+        fixture.reply(&sent, OrderReply::Accepted, millis + 2);
         count += 1;
         // Long enough for the earlier adapters to become idle.
         millis += 3_000;
-        bench.step(millis);
+        fixture.step(millis);
     }
     assert_eq!(count, 4);
 }
 
 #[test]
 fn adapters_never_exceed_slots() {
-    let (mut bench, vm, endpoint) = bench_with_one_engine();
+    let (mut fixture, vm, endpoint) = fixture_with_one_engine();
     for name in ["a1", "a2", "a3", "a4"] {
         let adapter = name.parse().unwrap();
-        bench
+        fixture
             .planner
             .request_adapter(&vm, &endpoint, &model("m0"), &adapter, at(720));
     }
     let mut held = 0_i32;
     let mut millis = 720;
-    while let Some((sent_at, sent)) = bench.next_order(millis, millis + 500) {
+    while let Some((sent_at, sent)) = fixture.next_order(millis, millis + 500) {
         millis = sent_at + 4;
         match sent.order {
             EndpointOrder::LoadAdapter(..) => {
                 held += 1;
-                bench.reply(&sent, OrderReply::Accepted, millis);
+                fixture.reply(&sent, OrderReply::Accepted, millis);
             }
             EndpointOrder::UnloadAdapter(..) => {
                 held -= 1;
-                bench.reply(&sent, OrderReply::Holds, millis);
+                fixture.reply(&sent, OrderReply::Holds, millis);
             }
             other => panic!("expected an adapter order, got {other:?}"),
         }
@@ -228,26 +229,26 @@
 fn planner_never_unloads_last_copy() {
     let policy = engine_policy(&[("m0", 72_700.0), ("m1", 72_700.0), ("m2", 72_700.0)]);
     let endpoints = vec![entry("e1", &["m0", "m1"]), entry("e2", &["m0", "m2"])];
-    let mut bench = Bench::new(policy, endpoints);
-    bench.want("m1", 500_000.0);
-    bench.step(0);
-    bench.step(600);
-    bench.status(0, &["m0", "m1"], false, 0, 700);
-    bench.status(1, &["m0", "m2"], false, 0, 700);
+    let mut fixture = PlannerFixture::new(policy, endpoints);
+    fixture.set_demand("m1", 500_000.0);
+    fixture.step(0);
+    fixture.step(600);
+    fixture.status(0, &["m0", "m1"], false, 0, 700);
+    fixture.status(1, &["m0", "m2"], false, 0, 700);
     let mut unloaded = Vec::new();
     for millis in (720..20_000).step_by(20) {
-        for effect in bench.step(millis) {
+        for effect in fixture.step(millis) {
             if let PlannerEffect::Send(sent) = effect {
                 if let EndpointOrder::UnloadModel(model) = &sent.order {
                     unloaded.push(model.clone());
-                    let at_endpoint = bench
+                    let endpoint = fixture
                         .endpoints
                         .iter_mut()
                         .find(|entry| entry.id == sent.endpoint)
                         .unwrap();
-                    at_endpoint.models.retain(|hosted| hosted.id != *model);
+                    endpoint.models.retain(|hosted| hosted.id != *model);
                 }
-                bench.reply(&sent, OrderReply::Accepted, millis + 2);
+                fixture.reply(&sent, OrderReply::Accepted, millis + 2);
             }
         }
     }
@@ -255,10 +256,10 @@
 }
 
 #[test]
-fn new_holder_evicts_spare_copies_at_once() {
-    // Four copies of a model without demand and one copy of a model with all the
-    // demand: a change of the lease holder must not delay evictions by the minimum age
-    // of copies.
+fn new_holder_evicts_copies_without_minimum_age() {
+    // The fleet has four copies of a model without demand and one of a model with all
+    // the demand. A change of the lease holder must not delay evictions by the minimum
+    // age of copies.
     let policy = engine_policy(&[("old", 90_000.0), ("hot", 90_000.0)]);
     let mut endpoints: Vec<EndpointEntry> = (0..4)
         .map(|index| entry(&format!("e{index}"), &["old"]))
@@ -269,18 +270,18 @@
             .models
             .push(entry("any", &["filler"]).models[0].clone());
     }
-    let mut bench = Bench::new(policy, endpoints);
-    bench
+    let mut fixture = PlannerFixture::new(policy, endpoints);
+    fixture
         .policy
         .models
         .push(support::profile("filler", 90_000.0));
-    bench.want("hot", 100_000.0);
-    bench.step(600);
+    fixture.set_demand("hot", 100_000.0);
+    fixture.step(600);
     for index in 0..5 {
         let held = if index == 4 { "hot" } else { "old" };
-        bench.status(index, &[held, "filler"], false, 3, 700);
+        fixture.status(index, &[held, "filler"], false, 3, 700);
     }
-    let (millis, sent) = bench.next_order(700, 3_000).unwrap();
+    let (millis, sent) = fixture.next_order(700, 3_000).unwrap();
     assert_eq!(sent.order, EndpointOrder::UnloadModel(model("old")));
     assert!(millis < 1_500, "first order at {millis} ms");
 }
@@ -295,23 +296,23 @@
     let engines: Vec<EndpointEntry> = (0..60)
         .map(|index| entry(&format!("e{index}"), &[]))
         .collect();
-    let mut bench = Bench::new(policy, engines);
+    let mut fixture = PlannerFixture::new(policy, engines);
     for name in &names {
-        bench.want(name, 10_000.0);
+        fixture.set_demand(name, 10_000.0);
     }
-    bench.step(600);
+    fixture.step(600);
     for index in 0..60 {
-        bench.status(index, &[], false, 1, 700);
+        fixture.status(index, &[], false, 1, 700);
     }
     let mut started = 0;
     for millis in (720..4_800).step_by(20) {
-        for effect in bench.step(millis) {
+        for effect in fixture.step(millis) {
             let PlannerEffect::Send(sent) = effect else {
                 continue;
             };
             assert!(matches!(sent.order, EndpointOrder::LoadModel(_)));
             started += 1;
-            bench.reply(&sent, OrderReply::Accepted, millis);
+            fixture.reply(&sent, OrderReply::Accepted, millis);
         }
     }
     assert!((32..=37).contains(&started), "{started} loads started");
--- a/crates/clementinepond_dispatch/tests/select.rs
+++ b/crates/clementinepond_dispatch/tests/select.rs
@@ -1,4 +1,5 @@
-//! Selection of engines under load, measured by what callers get.
+//! Selection of engines: time to the first token under load, refusals, adapters and
+//! health.
 
 #![allow(
     clippy::unwrap_used,
@@ -20,9 +21,9 @@
 
 /// Prompt tokens that a simulated engine processes per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 30.0;
-/// Number of sessions whose shared prompt tokens fit into an engine's cache.
+/// Number of sessions whose shared prompt tokens fit into a simulated engine's cache.
 const CACHED_SESSIONS: usize = 18;
-/// Prompt tokens shared within a session, and those of the request alone.
+/// Number of prompt tokens shared within a session, and of those of one request alone.
 const PROMPT_TOKENS: (u64, u64) = (6_300, 2_890);
 
 fn candidate(endpoint: &EndpointEntry) -> EngineCandidate<'_> {
@@ -60,9 +61,12 @@
     cached: Vec<u64>,
 }
 
-/// Simulates requests of 26 sessions; returns the share with a first token within 600
-/// ms and the number of prompt tokens processed.
-fn simulate(gap_ms: f64, choose: impl Fn(u64, f64, &[SimulatedEngine]) -> usize) -> (f64, u64) {
+/// Simulates requests of 26 sessions; returns the share of requests with a first token
+/// within 600 ms and the number of prompt tokens processed.
+fn simulate(
+    interval_ms: f64,
+    choose: impl Fn(u64, f64, &[SimulatedEngine]) -> usize,
+) -> (f64, u64) {
     let names = ["e1", "e2", "e3", "e4"];
     let mut engines: Vec<SimulatedEngine> = names
         .iter()
@@ -72,15 +76,15 @@
             cached: Vec::new(),
         })
         .collect();
-    let (mut in_time, mut read) = (0, 0);
+    let (mut in_time, mut processed) = (0, 0);
     let count = 3_000_u32;
     for number in 0..count {
-        let now = f64::from(number) * gap_ms;
+        let now = f64::from(number) * interval_ms;
         let session = rendezvous_weight(u64::from(number), "session") % 26;
         let chosen = choose(session, now, &engines);
         let engine = &mut engines[chosen];
-        let held = engine.cached.iter().position(|&one| one == session);
-        let shared = match held {
+        let cached_at = engine.cached.iter().position(|&cached| cached == session);
+        let shared = match cached_at {
             Some(index) => {
                 engine.cached.remove(index);
                 0
@@ -89,7 +93,7 @@
         };
         engine.cached.push(session);
         let tokens = shared + PROMPT_TOKENS.1;
-        read += tokens;
+        processed += tokens;
         engine.free_at_ms = engine.free_at_ms.max(now) + tokens as f64 / PREFILL_TOKENS_PER_MS;
         if engine.cached.len() > CACHED_SESSIONS {
             engine.cached.remove(0);
@@ -98,26 +102,28 @@
             in_time += 1;
         }
     }
-    (f64::from(in_time) / f64::from(count), read)
+    (f64::from(in_time) / f64::from(count), processed)
 }
 
 fn select_by_prediction(session: u64, now: f64, engines: &[SimulatedEngine]) -> usize {
-    let mut order: Vec<usize> = (0..engines.len()).collect();
+    let mut ranking: Vec<usize> = (0..engines.len()).collect();
     let weight = |index: usize| rendezvous_weight(session, engines[index].entry.id.as_str());
-    order.sort_by_key(|&index| std::cmp::Reverse(weight(index)));
+    ranking.sort_by_key(|&index| std::cmp::Reverse(weight(index)));
     let candidates: Vec<EngineCandidate<'_>> = engines
         .iter()
         .enumerate()
         .map(|(index, engine)| {
-            let mut one = candidate(&engine.entry);
+            let mut candidate = candidate(&engine.entry);
             let queued = (engine.free_at_ms - now).max(0.0) * PREFILL_TOKENS_PER_MS;
-            one.prefill_tokens = queued;
-            one.cached_tokens = match order.iter().position(|&owner| owner == index) {
+            candidate.prefill_tokens = queued;
+            // The estimate for a session is high at its two highest-ranked engines,
+            // whatever they have cached.
+            candidate.cached_tokens = match ranking.iter().position(|&ranked| ranked == index) {
                 Some(0) => PROMPT_TOKENS.0 * 85 / 100,
                 Some(1) => PROMPT_TOKENS.0 * 70 / 100,
                 _ => 0,
             };
-            one
+            candidate
         })
         .collect();
     match choose_engine(&candidates, &request(60_000)) {
@@ -127,25 +133,25 @@
 }
 
 fn select_by_shortest_queue(_: u64, _: f64, engines: &[SimulatedEngine]) -> usize {
-    let free = |index: &usize| engines[*index].free_at_ms;
+    let free_at = |index: &usize| engines[*index].free_at_ms;
     (0..engines.len())
-        .min_by(|a, b| free(a).total_cmp(&free(b)))
+        .min_by(|a, b| free_at(a).total_cmp(&free_at(b)))
         .unwrap()
 }
 
 #[test]
 fn prediction_beats_shortest_queue_under_load() {
     // Four engines together can process one uncached prompt every 77 ms.
-    let (predicted, predicted_read) = simulate(50.0, select_by_prediction);
-    let (shortest, shortest_read) = simulate(50.0, select_by_shortest_queue);
+    let (predicted, predicted_processed) = simulate(50.0, select_by_prediction);
+    let (shortest, shortest_processed) = simulate(50.0, select_by_shortest_queue);
     assert!(predicted > 0.95, "{predicted} of the requests in time");
     assert!(
         predicted >= shortest,
         "{predicted} of the requests in time, {shortest} with the shortest queue"
     );
     assert!(
-        predicted_read < shortest_read,
-        "{predicted_read} tokens processed, {shortest_read} with the shortest queue"
+        predicted_processed < shortest_processed,
+        "{predicted_processed} tokens processed, {shortest_processed} with the shortest queue"
     );
 }
 
--- a/crates/clementinepond_dispatch/tests/support/mod.rs
+++ b/crates/clementinepond_dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of small fleets for the tests.
+//! Builders of policies, endpoint entries and routes for the tests.
 
 #![allow(
     dead_code,
