--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -12,8 +12,8 @@
 
 /// Duration of the lease, counted from the sending of a renewal.
 pub const LEASE_DURATION: TimeSpan = TimeSpan::from_millis(1_400);
-/// Time before the end of the lease at which the holder stops sending orders, so that
-/// orders in flight still arrive in time.
+/// Time before the end of the lease from which the holder sends no orders, so that
+/// orders in flight still arrive before the end.
 const STOP_MARGIN: TimeSpan = TimeSpan::from_millis(300);
 /// Interval between renewals.
 const RENEWAL_INTERVAL: TimeSpan = TimeSpan::from_millis(450);
@@ -55,7 +55,7 @@
         /// Whether a live peer reports that it holds the lease.
         holder_live: bool,
         /// Delay after a tick with a live holder before this VM may try to take the
-        /// lease; gives better suited VMs precedence.
+        /// lease, so that better suited VMs try first.
         head_start: TimeSpan,
     },
     /// The object was read.
--- a/crates/clementinepond_dispatch/src/load/load_table.rs
+++ b/crates/clementinepond_dispatch/src/load/load_table.rs
@@ -105,7 +105,8 @@
     }
 
     /// Returns the prompt tokens that an endpoint has to process before those of a new
-    /// request: the estimated queue, or this VM's own share if that is larger.
+    /// request: the estimated queue, or those of this VM's requests without a first
+    /// token if that is more.
     #[must_use]
     pub fn pending_prefill(&self, key: NameHash, now: LocalTime) -> f64 {
         let queue = self.queues.get(&key);
--- a/crates/clementinepond_dispatch/src/peer/peer_table.rs
+++ b/crates/clementinepond_dispatch/src/peer/peer_table.rs
@@ -35,7 +35,7 @@
 /// Bandwidth above which a wider link no longer raises a VM's watcher rank, in megabits
 /// per second.
 const MAX_RANKED_LINK_MBPS: u32 = 100;
-/// Rendezvous key that orders watcher candidates with equal links.
+/// Rendezvous key that orders watcher candidates whose links rank equally.
 const WATCHER_RANK_KEY: u64 = 1;
 
 /// Last known state of a peer.
@@ -45,7 +45,7 @@
     pub address: SocketAddrV4,
     /// Last heartbeat; `None` until one has arrived.
     pub heartbeat: Option<Box<PeerHeartbeat>>,
-    /// Time of the last contact with the peer's process, or at which its address became
+    /// Time of the last contact with the peer's process, or at which the peer became
     /// known.
     pub last_seen: LocalTime,
 }
--- a/crates/clementinepond_dispatch/src/place/planner/moves.rs
+++ b/crates/clementinepond_dispatch/src/place/planner/moves.rs
@@ -156,7 +156,7 @@
     }
 
     fn view(&self, input: &PlannerInput<'_>, now: LocalTime) -> PlacementView {
-        let index_of = |id: &ModelId| input.policy.models.iter().position(|one| one.id == *id);
+        let index_of = |id: &ModelId| input.policy.models.iter().position(|model| model.id == *id);
         let is_return_expected = |id: &ModelId, has_demand: bool| {
             let timeout = if has_demand {
                 DEMANDED_MODEL_TIMEOUT
@@ -183,8 +183,13 @@
             Some(self.engine_view(input.policy, entry, *is_usable, tracker, &index_of, now))
         });
         let store_loads = self.moves.values().filter(|task| task.from_store).count();
-        let longest = input.policy.models.iter().map(|one| one.store_load).max();
-        let seconds = longest.map_or(0.0, |span| span.micros() as f64 / 1e6);
+        let longest_load = input
+            .policy
+            .models
+            .iter()
+            .map(|model| model.store_load)
+            .max();
+        let seconds = longest_load.map_or(0.0, |duration| duration.micros() as f64 / 1e6);
         let max_store_loads =
             (input.policy.loads_per_s * seconds * STORE_CONCURRENCY_SHARE).max(1.0);
         let is_unlimited = input.policy.loads_per_s <= 0.0;
--- a/crates/clementinepond_dispatch/src/select/engine_choice.rs
+++ b/crates/clementinepond_dispatch/src/select/engine_choice.rs
@@ -80,7 +80,7 @@
     pub kv_capacity: u64,
     /// Time until the caller's deadline for the complete answer.
     pub time_left: TimeSpan,
-    /// Time until the caller's deadline for the first token.
+    /// Time until the caller disconnects if it has received no first token.
     pub first_token_wait: TimeSpan,
 }
 
