--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -98,8 +98,8 @@
         fence: u64,
         /// Time from which orders may be sent.
         order_from: LocalTime,
-        /// Whether the object named no other VM as holder or previous holder, so that
-        /// no other VM's orders can still take effect.
+        /// Whether the object, as last read, named no other VM as holder or previous
+        /// holder; orders may then be sent at once.
         is_resumed: bool,
     },
     /// This VM no longer holds the lease.
