--- a/crates/clementinepond/src/command/soak.rs
+++ b/crates/clementinepond/src/command/soak.rs
@@ -63,7 +63,7 @@
         for &seed in batch {
             let options = SoakOptions {
                 seed,
-                span: Duration::from_secs(options.seconds),
+                fault_window: Duration::from_secs(options.seconds),
                 program: program.clone(),
                 folder: options.output.join(seed.to_string()),
             };
--- a/crates/clementinepond_soak/src/callers.rs
+++ b/crates/clementinepond_soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that go on whatever happens.
+//! Callers that keep sending requests during the faults.
 
 use clementinepond_platform_standin::{CallOutcome, CallRequest, send_call};
 use hyper::Method;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_millis(2_500);
+/// Deadline that a caller declares; longer than the routes' timeout.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// One call and how it ended.
+/// Call and its outcome.
 #[derive(Debug, Clone)]
 pub(crate) struct CallRecord {
     pub(crate) attempt: String,
@@ -20,10 +20,11 @@
     pub(crate) outcome: CallOutcome,
 }
 
-/// Calls of all callers.
+/// Finished calls of all callers.
 pub(crate) type CallLog = Arc<Mutex<Vec<CallRecord>>>;
 
-/// Makes one call of a kind drawn at random.
+/// Draws a request of a random kind, and returns it and whether its answer is a
+/// stream.
 pub(crate) fn draw_call(random: &mut ChaCha8Rng, attempt: &str) -> (CallRequest, bool) {
     let (path, model) = match random.random_range(0..5) {
         0 => ("/chat/talk", Some("m0")),
@@ -39,13 +40,13 @@
         attempt: attempt.into(),
         key: Some("key-of-desk".into()),
         model: model.map(str::to_owned),
-        patience: PATIENCE,
+        timeout: CALL_TIMEOUT,
         body: attempt.as_bytes().to_vec(),
     };
     (call, model.is_some())
 }
 
-/// Calls until cancelled.
+/// Sends requests to random entry VMs, one at a time, until `stop` is true.
 pub(crate) async fn run_caller(
     seed: u64,
     number: u64,
--- a/crates/clementinepond_soak/src/check.rs
+++ b/crates/clementinepond_soak/src/check.rs
@@ -1,23 +1,23 @@
-//! What callers and endpoints must see, whatever happens.
+//! Invariants that must hold for callers and endpoints under every fault.
 
 use crate::callers::CallRecord;
-use clementinepond_platform_standin::{CallOutcome, RunJudge};
+use clementinepond_platform_standin::{CallOutcome, RunChecker};
 
-/// Events of the stand-ins' streams.
+/// Number of events in the stand-ins' streams.
 pub(crate) const STREAM_EVENTS: u32 = 8;
 
-/// Returns the promises that were broken.
-pub(crate) fn find_violations(judge: &RunJudge, calls: &[CallRecord]) -> Vec<String> {
-    let mut found = judge.violations();
+/// Returns a description of each violated invariant.
+pub(crate) fn find_violations(checker: &RunChecker, calls: &[CallRecord]) -> Vec<String> {
+    let mut found = checker.violations();
     for call in calls {
-        found.extend(check_call(judge, call));
+        found.extend(check_call(checker, call));
     }
     found
 }
 
-fn check_call(judge: &RunJudge, call: &CallRecord) -> Option<String> {
+fn check_call(checker: &RunChecker, call: &CallRecord) -> Option<String> {
     let attempt = &call.attempt;
-    let runs = judge.runs_of(attempt).len();
+    let runs = checker.runs_of(attempt).len();
     match &call.outcome {
         CallOutcome::Answer {
             status,
@@ -26,22 +26,26 @@
             ..
         } => match status.as_u16() {
             200 if *body != expected_body(call) => Some(format!(
-                "{attempt} got another answer than its own: {body:?}"
+                "{attempt} got an answer that does not match its request: {body:?}"
+            )),
+            200 if !is_signed => Some(format!(
+                "{attempt} got an answer without an endpoint's signature"
+            )),
+            429 | 503 if runs > 0 => Some(format!(
+                "{attempt} was refused with {status} but ran {runs} times"
             )),
-            200 if !is_signed => Some(format!("{attempt} got an answer that no endpoint signed")),
-            429 | 503 if runs > 0 => Some(format!("{attempt} was refused as not run and ran")),
             400..=499 if status.as_u16() != 429 => {
-                Some(format!("{attempt} is allowed and was answered {status}"))
+                Some(format!("{attempt} is valid but was answered with {status}"))
             }
             _ => None,
         },
         CallOutcome::Broken { body } if !expected_body(call).starts_with(body.as_str()) => Some(
-            format!("{attempt} got pieces that are not its answer's: {body:?}"),
+            format!("{attempt} got a partial answer that does not match its request: {body:?}"),
         ),
         CallOutcome::Broken { .. }
         | CallOutcome::Unreachable
         | CallOutcome::Closed
-        | CallOutcome::Late => None,
+        | CallOutcome::TimedOut => None,
     }
 }
 
--- a/crates/clementinepond_soak/src/world.rs
+++ b/crates/clementinepond_soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment of one run.
+//! Deployment of a run: store, endpoints, proxies and entry VMs.
 
 use crate::SoakError;
 use crate::check::STREAM_EVENTS;
@@ -6,7 +6,8 @@
 use crate::process::EntryProcess;
 use crate::proxy::LinkProxy;
 use clementinepond_platform_standin::{
-    EndpointFaults, EndpointOptions, HostedEndpoint, HostedStore, RunJudge, sample_configuration,
+    EndpointFaults, EndpointOptions, RunChecker, StandinEndpoint, StandinStore,
+    sample_configuration,
 };
 use rustix::process::Signal;
 use serde_json::Value;
@@ -14,34 +15,38 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Entry VMs of one run.
+/// Number of entry VMs in a run.
 pub(crate) const VMS: usize = 3;
-/// Engines of one run; two plain endpoints come after them.
+/// Number of engines in a run; the other endpoints serve no models and follow the
+/// engines in the order of endpoints.
 const ENGINES: usize = 2;
-/// Endpoints of one run.
+/// Number of endpoints in a run.
 pub(crate) const ENDPOINTS: usize = 4;
 
-/// The deployment of one run.
+/// Deployment of a run.
 #[derive(Debug)]
-pub(crate) struct SoakWorld {
-    store: HostedStore,
-    pub(crate) judge: RunJudge,
-    endpoints: Vec<HostedEndpoint>,
+pub(crate) struct SoakDeployment {
+    store: StandinStore,
+    pub(crate) checker: RunChecker,
+    endpoints: Vec<StandinEndpoint>,
+    /// Proxies between all VMs and an endpoint, by endpoint.
     endpoint_links: Vec<LinkProxy>,
+    /// Proxies between a VM and the store, by VM.
     store_links: Vec<LinkProxy>,
     pub(crate) entries: Vec<EntryProcess>,
+    /// Version of the last configuration written.
     version: u64,
 }
 
-impl SoakWorld {
+impl SoakDeployment {
     pub(crate) async fn start(program: &Path, folder: PathBuf) -> Result<Self, SoakError> {
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-        let store = HostedStore::start(any).await?;
-        let judge = RunJudge::default();
+        let store = StandinStore::start(any).await?;
+        let checker = RunChecker::default();
         store.put("config", "main", configuration(1));
-        let mut world = Self {
+        let mut deployment = Self {
             store,
-            judge,
+            checker,
             endpoints: Vec::new(),
             endpoint_links: Vec::new(),
             store_links: Vec::new(),
@@ -61,41 +66,43 @@
                 },
                 model_slots: 2,
                 events: STREAM_EVENTS,
-                pause: Duration::from_millis(10),
-                once_prefix: "/chat/".into(),
+                event_delay: Duration::from_millis(10),
+                at_most_once_prefix: "/chat/".into(),
             };
-            let endpoint = HostedEndpoint::start(any, options, &world.store, &world.judge).await?;
+            let endpoint =
+                StandinEndpoint::start(any, options, &deployment.store, &deployment.checker)
+                    .await?;
             let link = LinkProxy::start(endpoint.address()).await?;
-            endpoint.list_as(link.address);
-            world.endpoints.push(endpoint);
-            world.endpoint_links.push(link);
+            endpoint.register_at(link.address);
+            deployment.endpoints.push(endpoint);
+            deployment.endpoint_links.push(link);
         }
         for index in 0..VMS {
-            let link = LinkProxy::start(world.store.address()).await?;
+            let link = LinkProxy::start(deployment.store.address()).await?;
             let name = format!("vm-{index}");
             let entry =
                 EntryProcess::start(name, program.to_owned(), link.address, folder.clone())?;
-            world.store_links.push(link);
-            world.entries.push(entry);
+            deployment.store_links.push(link);
+            deployment.entries.push(entry);
         }
-        Ok(world)
+        Ok(deployment)
     }
 
-    /// Begins a fault.
+    /// Starts a fault.
     pub(crate) fn begin(&mut self, fault: SoakFault) {
         match fault {
             SoakFault::StoreLink(vm, fault) => self.store_links[vm].set(Some(fault)),
-            SoakFault::EndpointLink(one, fault) => self.endpoint_links[one].set(Some(fault)),
+            SoakFault::EndpointLink(i, fault) => self.endpoint_links[i].set(Some(fault)),
             SoakFault::Kill(vm) => self.entries[vm].signal(Signal::KILL),
             SoakFault::Terminate(vm) => self.entries[vm].signal(Signal::TERM),
             SoakFault::Pause(vm) => self.entries[vm].signal(Signal::STOP),
             SoakFault::StoreDown => self.store.set_down(true),
             SoakFault::StoreLosesAnswers => self.store.lose_answers(2),
             SoakFault::StoreForgets => self.store.compact(),
-            SoakFault::EndpointBreaks(one) => self.harm(one, |faults| faults.break_after = Some(3)),
-            SoakFault::EndpointLoses(one) => self.harm(one, |faults| faults.lose_answers = true),
-            SoakFault::EndpointCrosses(one) => self.harm(one, |faults| faults.cross_answers = true),
-            SoakFault::EndpointSilent(one) => self.harm(one, |faults| faults.is_silent = true),
+            SoakFault::EndpointBreaks(i) => self.inject(i, |faults| faults.break_after = Some(3)),
+            SoakFault::EndpointLoses(i) => self.inject(i, |faults| faults.lose_answers = true),
+            SoakFault::EndpointCrosses(i) => self.inject(i, |faults| faults.cross_answers = true),
+            SoakFault::EndpointSilent(i) => self.inject(i, |faults| faults.is_silent = true),
             SoakFault::Configurations(count) => {
                 for _ in 0..count {
                     self.version += 3;
@@ -106,11 +113,11 @@
         }
     }
 
-    /// Ends a fault; what overlaps with it at the same place ends too.
+    /// Ends a fault and all overlapping faults of the same target.
     pub(crate) fn end(&mut self, fault: SoakFault) -> Result<(), SoakError> {
         match fault {
             SoakFault::StoreLink(vm, _) => self.store_links[vm].set(None),
-            SoakFault::EndpointLink(one, _) => self.endpoint_links[one].set(None),
+            SoakFault::EndpointLink(i, _) => self.endpoint_links[i].set(None),
             SoakFault::Kill(vm) | SoakFault::Terminate(vm) => {
                 self.entries[vm].signal(Signal::CONT);
                 if self.entries[vm].has_ended() {
@@ -120,19 +127,19 @@
             SoakFault::Pause(vm) => self.entries[vm].signal(Signal::CONT),
             SoakFault::StoreDown => self.store.set_down(false),
             SoakFault::StoreLosesAnswers => self.store.lose_answers(0),
-            SoakFault::EndpointBreaks(one)
-            | SoakFault::EndpointLoses(one)
-            | SoakFault::EndpointCrosses(one)
-            | SoakFault::EndpointSilent(one) => {
-                self.endpoints[one].set_faults(EndpointFaults::default());
+            SoakFault::EndpointBreaks(i)
+            | SoakFault::EndpointLoses(i)
+            | SoakFault::EndpointCrosses(i)
+            | SoakFault::EndpointSilent(i) => {
+                self.endpoints[i].set_faults(EndpointFaults::default());
             }
             SoakFault::StoreForgets | SoakFault::Configurations(_) => {}
         }
         Ok(())
     }
 
-    /// Starts VMs that ended, and lets paused ones go on.
-    pub(crate) fn revive(&mut self) -> Result<(), SoakError> {
+    /// Restarts VMs that ended and resumes paused ones.
+    pub(crate) fn restart_ended(&mut self) -> Result<(), SoakError> {
         for entry in &mut self.entries {
             entry.signal(Signal::CONT);
             if entry.has_ended() {
@@ -142,20 +149,19 @@
         Ok(())
     }
 
-    fn harm(&self, one: usize, set: impl FnOnce(&mut EndpointFaults)) {
+    fn inject(&self, endpoint: usize, set: impl FnOnce(&mut EndpointFaults)) {
         let mut faults = EndpointFaults::default();
         set(&mut faults);
-        self.endpoints[one].set_faults(faults);
+        self.endpoints[endpoint].set_faults(faults);
     }
 }
 
-/// Time that a route's callers are kept waiting, in milliseconds; short, so that
-/// many calls end within a run.
+/// Timeout of the routes, in milliseconds; short, so that many calls end within a run.
 const ROUTE_TIMEOUT_MS: u64 = 2_000;
 
 fn configuration(version: u64) -> Value {
     let mut sample = sample_configuration(version, ROUTE_TIMEOUT_MS);
-    // Quotas are not what the soak is about.
+    // Disables the rate limit, which the soak does not test.
     sample["tenants"][0]["rate_per_s"] = 0.into();
     sample
 }
--- a/crates/clementinepond_soak/src/error.rs
+++ b/crates/clementinepond_soak/src/error.rs
@@ -1,14 +1,18 @@
-//! Reasons for which a soak cannot run.
+//! Errors that stop a soak run.
 
 use derive_more::{Display, Error, From};
 
-/// Reason for which a soak cannot run.
+/// Error that stops a soak run.
 #[derive(Debug, Display, Error, From)]
 pub enum SoakError {
-    /// The operating system refuses something.
-    #[display("{_0}; check that processes may be started and loopback ports are free")]
+    /// An operation of the operating system failed.
+    #[display(
+        "operating system error: {_0}; check that processes can be started and that loopback ports are free"
+    )]
     System(std::io::Error),
-    /// A VM did not start.
-    #[display("an entry VM ended before it listened; run 'clementinepond entry' by hand")]
+    /// An entry VM did not print its addresses.
+    #[display(
+        "an entry VM did not print the addresses that it listens on; run 'clementinepond entry' by hand to see why"
+    )]
     NotStarted,
 }
--- a/crates/clementinepond_soak/src/fault.rs
+++ b/crates/clementinepond_soak/src/fault.rs
@@ -1,54 +1,55 @@
-//! Schedules of faults.
+//! Faults and their random schedule.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// What a proxy does to its connections.
+/// Fault that a proxy injects into its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkFault {
-    /// Bytes take longer.
+    /// Each forwarded chunk of bytes is delayed.
     Delay(Duration),
-    /// Open connections are reset, new ones refused.
+    /// Open connections are closed, and new ones are reset once accepted.
     Reset,
-    /// Answers are lost, requests still arrive.
+    /// Bytes from the server are dropped, while bytes to the server arrive.
     OneWay,
-    /// Nothing passes, nothing is closed.
+    /// Bytes are held back in both directions until the fault ends.
     Silence,
 }
 
-/// One fault.
+/// Fault that a run injects; numbers are indices of VMs or endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SoakFault {
-    /// A VM's path to the store.
+    /// The connections from a VM to the store are faulty.
     StoreLink(usize, LinkFault),
-    /// All VMs' path to an endpoint.
+    /// The connections from all VMs to an endpoint are faulty.
     EndpointLink(usize, LinkFault),
-    /// A VM is killed and started again.
+    /// A VM gets SIGKILL and is started again.
     Kill(usize),
     /// A VM gets SIGTERM and is started again.
     Terminate(usize),
-    /// A VM stands still.
+    /// A VM gets SIGSTOP, and SIGCONT at the end.
     Pause(usize),
-    /// The store refuses all calls.
+    /// The store answers all calls with an error.
     StoreDown,
-    /// The store does some writes without an answer.
+    /// The store applies every second write without answering it.
     StoreLosesAnswers,
-    /// The store forgets its history.
+    /// The store clears its change history.
     StoreForgets,
-    /// An endpoint breaks streams off.
+    /// An endpoint cuts streams off.
     EndpointBreaks(usize),
-    /// An endpoint loses its answers.
+    /// An endpoint runs requests without answering them, and closes the connections.
     EndpointLoses(usize),
-    /// An endpoint answers with another request's identity.
+    /// An endpoint answers with the attempt ID of another request.
     EndpointCrosses(usize),
-    /// An endpoint gives no answers.
+    /// An endpoint runs requests without answering them, and keeps the connections
+    /// open.
     EndpointSilent(usize),
-    /// Configurations come in quick succession.
+    /// This many new configurations are written in quick succession.
     Configurations(u64),
 }
 
-/// A fault with its time.
+/// Fault with its start, relative to the start of the schedule, and its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PlannedFault {
     pub(crate) at: Duration,
@@ -56,17 +57,18 @@
     pub(crate) fault: SoakFault,
 }
 
-/// Draws a schedule of overlapping faults over a span.
+/// Draws a schedule of possibly overlapping faults that start within
+/// `fault_window`, in the order of their starts.
 pub(crate) fn draw_schedule(
     random: &mut ChaCha8Rng,
     vms: usize,
     endpoints: usize,
-    span: Duration,
+    fault_window: Duration,
 ) -> Vec<PlannedFault> {
     let count = random.random_range(4..10);
     let mut schedule: Vec<PlannedFault> = (0..count)
         .map(|_| PlannedFault {
-            at: Duration::from_millis(random.random_range(0..span.as_millis() as u64)),
+            at: Duration::from_millis(random.random_range(0..fault_window.as_millis() as u64)),
             length: Duration::from_millis(random.random_range(200..2_500)),
             fault: draw_fault(random, vms, endpoints),
         })
@@ -79,8 +81,8 @@
     let vm = random.random_range(0..vms);
     let endpoint = random.random_range(0..endpoints);
     match random.random_range(0..13) {
-        0 => SoakFault::StoreLink(vm, draw_link(random)),
-        1 => SoakFault::EndpointLink(endpoint, draw_link(random)),
+        0 => SoakFault::StoreLink(vm, draw_link_fault(random)),
+        1 => SoakFault::EndpointLink(endpoint, draw_link_fault(random)),
         2 => SoakFault::Kill(vm),
         3 => SoakFault::Terminate(vm),
         4 => SoakFault::Pause(vm),
@@ -95,7 +97,7 @@
     }
 }
 
-fn draw_link(random: &mut ChaCha8Rng) -> LinkFault {
+fn draw_link_fault(random: &mut ChaCha8Rng) -> LinkFault {
     match random.random_range(0..4) {
         0 => LinkFault::Delay(Duration::from_millis(random.random_range(20..200))),
         1 => LinkFault::Reset,
--- a/crates/clementinepond_soak/src/process.rs
+++ b/crates/clementinepond_soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Entry VMs as processes.
+//! Entry VMs in separate processes.
 
 use crate::SoakError;
 use rustix::process::{Pid, Signal, kill_process};
@@ -8,16 +8,18 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 
-/// One entry VM and its settings.
+/// Entry VM in a separate process.
 #[derive(Debug)]
 pub(crate) struct EntryProcess {
     name: String,
     program: PathBuf,
     store: SocketAddrV4,
+    /// Folder for the settings and the log.
     folder: PathBuf,
+    /// Running process; `None` before the first start or after a failed one.
     child: Option<Child>,
-    pub(crate) callers: SocketAddrV4,
-    pub(crate) readiness: SocketAddrV4,
+    pub(crate) caller_address: SocketAddrV4,
+    pub(crate) readiness_address: SocketAddrV4,
 }
 
 impl EntryProcess {
@@ -27,21 +29,22 @@
         store: SocketAddrV4,
         folder: PathBuf,
     ) -> Result<Self, SoakError> {
-        let nowhere = SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0);
+        let unbound = SocketAddrV4::new(std::net::Ipv4Addr::LOCALHOST, 0);
         let mut process = Self {
             name,
             program,
             store,
             folder,
             child: None,
-            callers: nowhere,
-            readiness: nowhere,
+            caller_address: unbound,
+            readiness_address: unbound,
         };
         process.launch()?;
         Ok(process)
     }
 
-    /// Starts the process; after the first start it keeps its addresses.
+    /// Starts the process, after killing a running one; later starts reuse the
+    /// addresses for callers and readiness of the first.
     pub(crate) fn launch(&mut self) -> Result<(), SoakError> {
         self.stop();
         let settings = self.folder.join(format!("{}.jsonc", self.name));
@@ -49,8 +52,8 @@
             "vm": self.name,
             "data_centre": "dc-a",
             "listen": {
-                "callers": self.callers.to_string(),
-                "readiness": self.readiness.to_string(),
+                "callers": self.caller_address.to_string(),
+                "readiness": self.readiness_address.to_string(),
                 "peers": "127.0.0.1:0",
                 "metrics": "127.0.0.1:0",
             },
@@ -77,8 +80,8 @@
                 .find_map(|word| word.strip_prefix(key))?;
             word.parse().ok()
         };
-        self.callers = address("callers=").ok_or(SoakError::NotStarted)?;
-        self.readiness = address("readiness=").ok_or(SoakError::NotStarted)?;
+        self.caller_address = address("callers=").ok_or(SoakError::NotStarted)?;
+        self.readiness_address = address("readiness=").ok_or(SoakError::NotStarted)?;
         let log = self.folder.join(format!("{}.log", self.name));
         let mut log = std::fs::OpenOptions::new()
             .create(true)
@@ -101,12 +104,12 @@
             .as_ref()
             .and_then(|child| Pid::from_raw(child.id().cast_signed()));
         if let Some(pid) = pid {
-            // The process may have exited, which the checks notice.
+            // The process may have exited already, so an error is expected.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Tells whether the process has ended.
+    /// Returns whether the process has ended.
     pub(crate) fn has_ended(&mut self) -> bool {
         self.child
             .as_mut()
@@ -115,7 +118,7 @@
 
     fn stop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // The process may have ended already, so an error is expected.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/clementinepond_soak/src/proxy.rs
+++ b/crates/clementinepond_soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Loopback proxies that harm connections.
+//! Loopback proxies that inject faults into connections.
 
 use crate::fault::LinkFault;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -7,10 +7,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Size of a forwarded piece, in bytes.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Maximum size of a forwarded chunk, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Proxy in front of one server.
+/// TCP proxy in front of a server.
 #[derive(Debug)]
 pub(crate) struct LinkProxy {
     pub(crate) address: SocketAddrV4,
@@ -22,13 +22,15 @@
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         let listener = TcpListener::bind(any).await?;
         let SocketAddr::V4(address) = listener.local_addr()? else {
-            return Err(std::io::Error::other("the soak uses IPv4"));
+            return Err(std::io::Error::other(
+                "the proxy bound an address that is not IPv4",
+            ));
         };
-        let (fault, seen) = watch::channel(None);
+        let (fault, fault_watch) = watch::channel(None);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                let seen = seen.clone();
-                tokio::spawn(forward(near, target, seen));
+            while let Ok((client, _)) = listener.accept().await {
+                let fault_watch = fault_watch.clone();
+                tokio::spawn(forward(client, target, fault_watch));
             }
         });
         Ok(Self { address, fault })
@@ -39,61 +41,69 @@
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddrV4, seen: watch::Receiver<Option<LinkFault>>) {
-    if *seen.borrow() == Some(LinkFault::Reset) {
-        reset(&near);
+async fn forward(
+    client: TcpStream,
+    target: SocketAddrV4,
+    fault_watch: watch::Receiver<Option<LinkFault>>,
+) {
+    if *fault_watch.borrow() == Some(LinkFault::Reset) {
+        reset(&client);
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
-        reset(&near);
+    let Ok(server) = TcpStream::connect(target).await else {
+        reset(&client);
         return;
     };
-    // Small pieces are not to wait for more.
-    let _ = near.set_nodelay(true).and(far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let mut watching = seen.clone();
+    // Nagle's algorithm would delay small chunks.
+    let _ = client.set_nodelay(true).and(server.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let mut reset_watch = fault_watch.clone();
     let copies = async {
         tokio::join!(
-            copy(near_read, far_write, seen.clone(), false),
-            copy(far_read, near_write, seen, true)
+            copy(client_read, server_write, fault_watch.clone(), false),
+            copy(server_read, client_write, fault_watch, true)
         )
     };
     tokio::select! {
         _ = copies => {}
-        // Dropping the halves with unread bytes resets the connections.
-        _ = watching.wait_for(|fault| *fault == Some(LinkFault::Reset)) => {}
+        // Dropping the halves closes the connections; the kernel resets those with
+        // unread bytes.
+        _ = reset_watch.wait_for(|fault| *fault == Some(LinkFault::Reset)) => {}
     }
 }
 
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut seen: watch::Receiver<Option<LinkFault>>,
+    mut fault_watch: watch::Receiver<Option<LinkFault>>,
     is_answer: bool,
 ) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let Ok(length @ 1..) = from.read(&mut piece).await else {
+        let Ok(length @ 1..) = from.read(&mut buffer).await else {
             return;
         };
-        let fault = *seen.borrow();
+        let fault = *fault_watch.borrow();
         match fault {
             Some(LinkFault::Delay(time)) => tokio::time::sleep(time).await,
             Some(LinkFault::OneWay) if is_answer => continue,
             Some(LinkFault::Silence) => {
-                // The proxy's end is no concern of the copy.
-                let _ = seen.wait_for(|now| *now != Some(LinkFault::Silence)).await;
+                // An error means that the proxy was dropped; forwarding continues.
+                let _ = fault_watch
+                    .wait_for(|now| *now != Some(LinkFault::Silence))
+                    .await;
             }
             _ => {}
         }
-        if to.write_all(&piece[..length]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
 }
 
+/// Makes the stream send a reset when it is dropped.
 fn reset(stream: &TcpStream) {
-    // A plain close serves as well where this option is refused.
+    // If setting the option fails, a normal close is sufficient.
     let _ = stream.set_zero_linger();
 }
--- a/crates/clementinepond_soak/src/run.rs
+++ b/crates/clementinepond_soak/src/run.rs
@@ -1,10 +1,10 @@
-//! One run: start, faults, calm, checks.
+//! Phases of a run: start, faults, recovery and checks.
 
 use crate::SoakError;
 use crate::callers::{CallLog, CallRecord, draw_call, run_caller};
 use crate::check::find_violations;
+use crate::deployment::{ENDPOINTS, SoakDeployment, VMS};
 use crate::fault::{PlannedFault, draw_schedule};
-use crate::world::{ENDPOINTS, SoakWorld, VMS};
 use clementinepond_platform_standin::{CallOutcome, send_call};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -15,54 +15,62 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Callers of one run.
+/// Number of concurrent callers in a run.
 const CALLERS: u64 = 10;
-/// Time for which a run may take to serve again after its last fault: a whole
-/// change of the placement duty's holder with room for a busy machine.
+/// Maximum time until all VMs serve again, after the start or the last fault; covers a
+/// complete change of the placement lease's holder on a busy machine.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(20);
 
-/// What to run.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// Seed of the schedule.
+    /// Seed of the fault schedule and the callers' requests.
     pub seed: u64,
-    /// Span over which faults begin.
-    pub span: Duration,
-    /// The program `clementinepond`.
+    /// Time within which faults start.
+    pub fault_window: Duration,
+    /// Path of the `clementinepond` program.
     pub program: PathBuf,
-    /// Folder for settings and logs of the run.
+    /// Folder for the settings and logs of the VMs.
     pub folder: PathBuf,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug, Clone)]
 pub struct SoakReport {
-    /// Seed.
+    /// Seed that the run used.
     pub seed: u64,
-    /// Calls made.
+    /// Number of calls that the callers made.
     pub calls: usize,
-    /// Calls answered with success.
+    /// Number of calls answered with a success status.
     pub served: usize,
-    /// Faults injected.
+    /// Descriptions of the scheduled faults.
     pub faults: Vec<String>,
-    /// Promises broken.
+    /// Descriptions of the violated invariants.
     pub violations: Vec<String>,
 }
 
-/// Runs one seed.
+/// Runs the soak test with one seed.
 ///
 /// # Errors
 ///
-/// Fails when processes or sockets cannot be had.
+/// Fails when the folder, a socket or a process cannot be created, or a VM does not
+/// print its addresses.
 pub async fn run_soak(options: &SoakOptions) -> Result<SoakReport, SoakError> {
     std::fs::create_dir_all(&options.folder)?;
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
-    let schedule = draw_schedule(&mut random, VMS, ENDPOINTS, options.span);
-    let mut world = SoakWorld::start(&options.program, options.folder.clone()).await?;
-    let entries: Vec<SocketAddrV4> = world.entries.iter().map(|entry| entry.callers).collect();
+    let schedule = draw_schedule(&mut random, VMS, ENDPOINTS, options.fault_window);
+    let mut deployment = SoakDeployment::start(&options.program, options.folder.clone()).await?;
+    let entries: Vec<SocketAddrV4> = deployment
+        .entries
+        .iter()
+        .map(|entry| entry.caller_address)
+        .collect();
     let mut violations = Vec::new();
-    if !serves_again(&entries, options.seed, "start").await {
-        violations.push("a VM did not serve after its start".into());
+    if !serves_within_limit(&entries, options.seed, "start").await {
+        violations.push(
+            "a VM did not serve 6 requests in a row within the recovery limit after its start"
+                .into(),
+        );
     }
     let log = CallLog::default();
     let (stop, stopped) = watch::channel(false);
@@ -73,9 +81,12 @@
             tokio::spawn(caller)
         })
         .collect();
-    play(&mut world, &schedule).await?;
-    if !serves_again(&entries, options.seed, "end").await {
-        violations.push("a VM did not serve again after the last fault".into());
+    run_schedule(&mut deployment, &schedule).await?;
+    if !serves_within_limit(&entries, options.seed, "end").await {
+        violations.push(
+            "a VM did not serve 6 requests in a row within the recovery limit after the last fault"
+                .into(),
+        );
     }
     stop.send_replace(true);
     for caller in callers {
@@ -84,7 +95,7 @@
         }
     }
     let calls: Vec<CallRecord> = log.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    violations.extend(find_violations(&world.judge, &calls));
+    violations.extend(find_violations(&deployment.checker, &calls));
     let is_served = |call: &&CallRecord| matches!(&call.outcome, CallOutcome::Answer { status, .. } if status.is_success());
     Ok(SoakReport {
         seed: options.seed,
@@ -98,8 +109,12 @@
     })
 }
 
-/// Begins and ends the faults at their times.
-async fn play(world: &mut SoakWorld, schedule: &[PlannedFault]) -> Result<(), SoakError> {
+/// Starts and ends the faults at their scheduled times, then restarts all VMs that
+/// ended.
+async fn run_schedule(
+    deployment: &mut SoakDeployment,
+    schedule: &[PlannedFault],
+) -> Result<(), SoakError> {
     let start = Instant::now();
     let mut steps: Vec<(Duration, bool, &PlannedFault)> = Vec::new();
     for planned in schedule {
@@ -110,34 +125,35 @@
     for (at, begins, planned) in steps {
         tokio::time::sleep_until(start + at).await;
         if begins {
-            world.begin(planned.fault);
+            deployment.begin(planned.fault);
         } else {
-            world.end(planned.fault)?;
+            deployment.end(planned.fault)?;
         }
     }
-    // A VM that got SIGTERM uses its grace; then it is started again.
+    // A VM that got SIGTERM may use its whole grace period of 4 s before it ends.
     tokio::time::sleep(Duration::from_millis(4_500)).await;
-    world.revive()
+    deployment.restart_ended()
 }
 
-/// Tells whether every VM serves every kind of request within the limit.
-async fn serves_again(entries: &[SocketAddrV4], seed: u64, mark: &str) -> bool {
+/// Returns whether every VM serves 6 random requests in a row within
+/// `RECOVERY_LIMIT`, which applies to all VMs together.
+async fn serves_within_limit(entries: &[SocketAddrV4], seed: u64, stage: &str) -> bool {
     let until = Instant::now() + RECOVERY_LIMIT;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     for (index, &entry) in entries.iter().enumerate() {
-        let mut in_row = 0;
+        let mut consecutive = 0;
         let mut count = 0;
-        while in_row < 6 {
+        while consecutive < 6 {
             if Instant::now() > until {
                 return false;
             }
-            let attempt = format!("s{seed}-{mark}-{index}-{count}");
+            let attempt = format!("s{seed}-{stage}-{index}-{count}");
             count += 1;
             let (call, _) = draw_call(&mut random, &attempt);
             match send_call(entry, call).await {
-                CallOutcome::Answer { status, .. } if status.is_success() => in_row += 1,
+                CallOutcome::Answer { status, .. } if status.is_success() => consecutive += 1,
                 _ => {
-                    in_row = 0;
+                    consecutive = 0;
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
             }
