--- a/crates/clementinepond_daemon/src/admin/change.rs
+++ b/crates/clementinepond_daemon/src/admin/change.rs
@@ -85,7 +85,7 @@
     change: ConfigurationChange,
     response: &mut Response,
 ) {
-    if gives_withdrawn_key(state, &change) {
+    if restores_withdrawn_key(state, &change) {
         return refuse(
             response,
             StatusCode::CONFLICT,
@@ -109,7 +109,7 @@
 ///
 /// The withdrawal would be forgotten once a configuration lacks the key, and a
 /// VM that heard of it late could then refuse a key that is valid again.
-fn gives_withdrawn_key(state: &AdminState, change: &ConfigurationChange) -> bool {
+fn restores_withdrawn_key(state: &AdminState, change: &ConfigurationChange) -> bool {
     let ConfigurationChange::Key(digest, Some(_)) = change else {
         return false;
     };
--- a/crates/clementinepond_daemon/src/admin/store.rs
+++ b/crates/clementinepond_daemon/src/admin/store.rs
@@ -99,7 +99,7 @@
             configuration,
         }),
         Err(PlatformError::Conflict { .. }) => Err(conflict(platform, base).await),
-        Err(PlatformError::Failed(failure)) => recognise(platform, base, configuration)
+        Err(PlatformError::Failed(failure)) => find_own_update(platform, base, configuration)
             .await
             .ok_or(match failure {
                 crate::http::HttpFailure::NotSent => {
@@ -122,7 +122,7 @@
 }
 
 /// Finds out whether an update without an answer took effect.
-async fn recognise(
+async fn find_own_update(
     platform: &PlatformClient,
     base: ObjectVersion,
     configuration: FleetConfiguration,
--- a/crates/clementinepond_daemon/src/caller/admission.rs
+++ b/crates/clementinepond_daemon/src/caller/admission.rs
@@ -38,7 +38,7 @@
 }
 
 /// Takes one of the places for running requests.
-pub(crate) fn take_slot(state: &CallerState) -> Result<OwnedSemaphorePermit, CallerError> {
+pub(crate) fn acquire_slot(state: &CallerState) -> Result<OwnedSemaphorePermit, CallerError> {
     if state.stopping.is_cancelled() {
         return Err(CallerError::not_run(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/clementinepond_daemon/src/caller/answer.rs
+++ b/crates/clementinepond_daemon/src/caller/answer.rs
@@ -4,7 +4,7 @@
 use super::error_body::{
     CallerError, CallerOutcome, OUTCOME_HEADER, REQUEST_ID_HEADER, set_header,
 };
-use crate::node::{CallBody, CallSignal, CallerCall, NodeInput};
+use crate::node::{AnswerMessage, CallBody, CallerCall, NodeInput};
 use crate::telemetry::RequestTrace;
 use bytes::Bytes;
 use clementinepond_decide::claim::RecordedAnswer;
@@ -19,20 +19,20 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 /// Chunks that wait for a slow caller before the endpoint is held back.
-const SIGNAL_LIMIT: usize = 64;
+const MESSAGE_LIMIT: usize = 64;
 
 /// Form of the answer that the caller asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AnswerForm {
     /// One body.
-    Whole,
+    Single,
     /// Server-sent events.
     Stream,
 }
 
 /// A request that the node works on, seen from the caller's side.
 struct PendingAnswer {
-    signals: mpsc::Receiver<CallSignal>,
+    messages: mpsc::Receiver<AnswerMessage>,
     end: oneshot::Receiver<RequestEnd>,
     trace: RequestTrace,
     /// Held until the answer ends.
@@ -44,28 +44,28 @@
 
 /// What comes next on the way to the caller.
 enum NextStep {
-    Signal(CallSignal),
+    Message(AnswerMessage),
     End(RequestEnd),
 }
 
 impl PendingAnswer {
-    /// Returns signals first and the end last.
+    /// Returns messages first and the end last.
     async fn next(&mut self) -> Option<NextStep> {
         if self.is_ended {
             return None;
         }
         tokio::select! {
             biased;
-            Some(signal) = self.signals.recv() => Some(NextStep::Signal(signal)),
+            Some(message) = self.messages.recv() => Some(NextStep::Message(message)),
             end = &mut self.end => {
-                if let Ok(signal) = self.signals.try_recv() {
+                if let Ok(message) = self.messages.try_recv() {
                     // The end is kept for the next call.
                     let (sender, receiver) = oneshot::channel();
                     if let Ok(end) = end {
                         let _ = sender.send(end);
                     }
                     self.end = receiver;
-                    return Some(NextStep::Signal(signal));
+                    return Some(NextStep::Message(message));
                 }
                 self.is_ended = true;
                 Some(NextStep::End(end.unwrap_or(RequestEnd::Abandoned)))
@@ -88,8 +88,8 @@
     let trace = RequestTrace::start(&state.traces, &state.metrics, &body.request_id, &profile);
     let mut pending = submit(state, profile, key, body, trace, slot);
     match form {
-        AnswerForm::Whole => pass_whole(&mut pending, response).await,
-        AnswerForm::Stream => pass_stream(pending, response).await,
+        AnswerForm::Single => send_single(&mut pending, response).await,
+        AnswerForm::Stream => send_stream(pending, response).await,
     }
 }
 
@@ -101,13 +101,13 @@
     trace: RequestTrace,
     slot: OwnedSemaphorePermit,
 ) -> PendingAnswer {
-    let (signal_sender, signals) = mpsc::channel(SIGNAL_LIMIT);
+    let (message_sender, messages) = mpsc::channel(MESSAGE_LIMIT);
     let (end_sender, end) = oneshot::channel();
     let ticket = state.node.new_ticket();
     let cancellation = CancellationToken::new();
     let call = CallerCall {
         body: Arc::new(body),
-        signals: signal_sender,
+        messages: message_sender,
         end: end_sender,
         cancellation: cancellation.clone(),
         spans: trace.spans(),
@@ -119,9 +119,9 @@
         call,
     });
     let departure = CancellationToken::new();
-    watch_departure(state, ticket, departure.clone());
+    report_departure(state, ticket, departure.clone());
     PendingAnswer {
-        signals,
+        messages,
         end,
         trace,
         _slot: slot,
@@ -131,7 +131,7 @@
 }
 
 /// Tells the node when the caller's side is dropped, whatever the reason.
-fn watch_departure(
+fn report_departure(
     state: &CallerState,
     ticket: clementinepond_types::RequestTicket,
     departure: CancellationToken,
@@ -144,25 +144,25 @@
     });
 }
 
-async fn pass_whole(
+async fn send_single(
     pending: &mut PendingAnswer,
     response: &mut Response,
 ) -> Result<(), CallerError> {
-    let mut whole = None;
+    let mut complete = None;
     loop {
         match pending.next().await {
-            Some(NextStep::Signal(signal)) => whole = Some(signal),
+            Some(NextStep::Message(message)) => complete = Some(message),
             Some(NextStep::End(end)) => {
                 pending.trace.end(&end);
-                return render_whole(whole, &end, response);
+                return render_single(complete, &end, response);
             }
             None => return Err(CallerError::from_end(&RequestEnd::Abandoned)),
         }
     }
 }
 
-fn render_whole(
-    whole: Option<CallSignal>,
+fn render_single(
+    complete: Option<AnswerMessage>,
     end: &RequestEnd,
     response: &mut Response,
 ) -> Result<(), CallerError> {
@@ -175,11 +175,11 @@
         RequestEnd::Rejected => CallerOutcome::NotRun,
         other => return Err(CallerError::from_end(other)),
     };
-    let Some(CallSignal::Whole {
+    let Some(AnswerMessage::Complete {
         status,
         content_type,
         body,
-    }) = whole
+    }) = complete
     else {
         return Err(CallerError::from_end(end));
     };
@@ -207,23 +207,23 @@
 
 /// Sends the head only once the first chunk is there, so that a refusal can
 /// still have a status of its own.
-async fn pass_stream(
+async fn send_stream(
     mut pending: PendingAnswer,
     response: &mut Response,
 ) -> Result<(), CallerError> {
     let first = match pending.next().await {
-        Some(NextStep::Signal(CallSignal::Chunk(chunk))) => chunk,
-        Some(NextStep::Signal(whole)) => {
-            let end = finish_quietly(&mut pending).await;
-            return render_whole(Some(whole), &end, response);
+        Some(NextStep::Message(AnswerMessage::Chunk(chunk))) => chunk,
+        Some(NextStep::Message(complete)) => {
+            let end = wait_for_end(&mut pending).await;
+            return render_single(Some(complete), &end, response);
         }
         Some(NextStep::End(end)) => {
             pending.trace.end(&end);
-            return render_whole(None, &end, response);
+            return render_single(None, &end, response);
         }
         None => return Err(CallerError::from_end(&RequestEnd::Abandoned)),
     };
-    pending.trace.note_first_token();
+    pending.trace.record_first_token();
     set_header(response, "content-type", "text/event-stream");
     set_header(response, "cache-control", "no-store");
     let events = stream::unfold((Some(first), pending), next_event);
@@ -231,7 +231,7 @@
     Ok(())
 }
 
-async fn finish_quietly(pending: &mut PendingAnswer) -> RequestEnd {
+async fn wait_for_end(pending: &mut PendingAnswer) -> RequestEnd {
     while let Some(step) = pending.next().await {
         if let NextStep::End(end) = step {
             pending.trace.end(&end);
@@ -249,8 +249,8 @@
         return Some((Ok(data_event(&chunk)), (None, pending)));
     }
     let event = match pending.next().await? {
-        NextStep::Signal(CallSignal::Chunk(chunk)) => data_event(&chunk),
-        NextStep::Signal(CallSignal::Whole { body, .. }) => data_event(&body),
+        NextStep::Message(AnswerMessage::Chunk(chunk)) => data_event(&chunk),
+        NextStep::Message(AnswerMessage::Complete { body, .. }) => data_event(&body),
         NextStep::End(end) => {
             pending.trace.end(&end);
             closing_event(&end)
@@ -263,7 +263,7 @@
     [b"data: ".as_slice(), chunk, b"\n\n"].concat().into()
 }
 
-/// Ends a stream: an error event when it is not whole, and the outcome as a
+/// Ends a stream: an error event when it is not complete, and the outcome as a
 /// comment, which every client ignores unless it looks for it.
 fn closing_event(end: &RequestEnd) -> Bytes {
     if matches!(end, RequestEnd::Complete { .. }) {
--- a/crates/clementinepond_daemon/src/caller/inference.rs
+++ b/crates/clementinepond_daemon/src/caller/inference.rs
@@ -1,7 +1,7 @@
 //! Handlers of the inference API.
 
 use super::CallerState;
-use super::admission::{authenticate, new_request_id, read_body, read_idempotency, take_slot};
+use super::admission::{acquire_slot, authenticate, new_request_id, read_body, read_idempotency};
 use super::answer::{AnswerForm, answer};
 use super::error_body::CallerError;
 use super::parse::{ParsedCall, parse_call};
@@ -62,7 +62,7 @@
         Err(error) => return error.render(None, response),
     };
     if let Err(error) = serve(path, state, &request_id, request, response).await {
-        state.metrics.note_refusal(error.code);
+        state.metrics.record_refusal(error.code);
         error.render(Some(&request_id), response);
     }
 }
@@ -77,7 +77,7 @@
     let snapshot = state.snapshot();
     let lookup = authenticate(request, &snapshot, state.clock.now())?;
     let idempotency = read_idempotency(request)?;
-    let slot = take_slot(state)?;
+    let slot = acquire_slot(state)?;
     let body = read_body(state, request).await?;
     let call = parse_call(&body, &lookup.account, &snapshot.configuration)?;
     let is_repeatable = snapshot
@@ -89,7 +89,7 @@
     let form = if call.is_streamed {
         AnswerForm::Stream
     } else {
-        AnswerForm::Whole
+        AnswerForm::Single
     };
     let body = CallBody {
         request_id: request_id.clone(),
--- a/crates/clementinepond_daemon/src/caller/service.rs
+++ b/crates/clementinepond_daemon/src/caller/service.rs
@@ -1,7 +1,7 @@
 //! Handler of plain services.
 
 use super::CallerState;
-use super::admission::{authenticate, new_request_id, read_body, read_idempotency, take_slot};
+use super::admission::{acquire_slot, authenticate, new_request_id, read_body, read_idempotency};
 use super::answer::{AnswerForm, answer};
 use super::error_body::CallerError;
 use super::inference::idempotency_key;
@@ -43,7 +43,7 @@
         Err(error) => return error.render(None, response),
     };
     if let Err(error) = serve(state, &request_id, request, response).await {
-        state.metrics.note_refusal(error.code);
+        state.metrics.record_refusal(error.code);
         error.render(Some(&request_id), response);
     }
 }
@@ -70,7 +70,7 @@
     };
     let lookup = find_caller(route, request, &snapshot, state.clock.now())?;
     let idempotency = read_idempotency(request)?;
-    let slot = take_slot(state)?;
+    let slot = acquire_slot(state)?;
     let payload = read_body(state, request).await?;
     let path = service_path(request);
     let method = request.method().clone();
@@ -113,7 +113,16 @@
         },
     };
     let key = lookup.as_ref().map(|lookup| lookup.digest);
-    answer(state, profile, key, body, AnswerForm::Whole, slot, response).await
+    answer(
+        state,
+        profile,
+        key,
+        body,
+        AnswerForm::Single,
+        slot,
+        response,
+    )
+    .await
 }
 
 fn find_caller(
--- a/crates/clementinepond_daemon/src/configuration/in_force.rs
+++ b/crates/clementinepond_daemon/src/configuration/active.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 /// The configuration in force and everything that follows it.
-pub(crate) struct ConfigurationInForce {
+pub(crate) struct ActiveConfiguration {
     pub(crate) clock: LocalClock,
     pub(crate) data_centre: DataCentreId,
     pub(crate) snapshot: watch::Sender<Arc<ConfigurationSnapshot>>,
@@ -26,7 +26,7 @@
     pub(crate) withdrawn: Vec<KeyDigest>,
 }
 
-impl ConfigurationInForce {
+impl ActiveConfiguration {
     /// Puts a version in force.
     pub(crate) fn apply(
         &self,
@@ -46,7 +46,7 @@
             key_deadline: before.key_deadline,
             applied: self.clock.now(),
         }));
-        self.metrics.note_configuration(version.get());
+        self.metrics.record_configuration(version.get());
         log::info!("event=configuration_applied version={version}");
         Ok(AppliedConfiguration { view, withdrawn })
     }
@@ -54,14 +54,14 @@
     /// Refuses a key from now on, whatever the configuration says.
     pub(crate) fn withdraw(&self, key: KeyDigest) {
         log::info!("event=key_withdrawn digest={key}");
-        self.change(|snapshot| {
+        self.modify(|snapshot| {
             snapshot.withdrawn.insert(key);
         });
     }
 
     /// Accepts keys until a moment.
     pub(crate) fn accept_keys(&self, deadline: LocalTime) {
-        self.change(|snapshot| snapshot.key_deadline = deadline);
+        self.modify(|snapshot| snapshot.key_deadline = deadline);
     }
 
     /// Returns those of the keys that the configuration in force holds.
@@ -82,7 +82,7 @@
         self.snapshot.borrow().version
     }
 
-    fn change(&self, change: impl FnOnce(&mut ConfigurationSnapshot)) {
+    fn modify(&self, change: impl FnOnce(&mut ConfigurationSnapshot)) {
         self.snapshot
             .send_modify(|snapshot| change(Arc::make_mut(snapshot)));
     }
--- a/crates/clementinepond_daemon/src/configuration/fleet_view.rs
+++ b/crates/clementinepond_daemon/src/configuration/fleet_view.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 /// Seconds in one hour over the seconds that a store rate is stated for.
-const HOURLY_PER_RATE: f64 = 3.6;
+const PER_HOUR_OF_PER_1000_S: f64 = 3.6;
 
 /// Returns what the reducers need of a configuration.
 pub(crate) fn fleet_view(
@@ -139,7 +139,7 @@
     let count = u32::try_from(configuration.data_centres.len()).unwrap_or(u32::MAX);
     let count = count.max(1);
     let defaults = &configuration.defaults;
-    let hourly = f64::from(defaults.store_loads_per_1000s) * HOURLY_PER_RATE;
+    let hourly = f64::from(defaults.store_loads_per_1000s) * PER_HOUR_OF_PER_1000_S;
     StoreShare {
         loads_an_hour: hourly as u32 / count,
         loads_at_once: (defaults.store_loads_at_once / count).max(1),
--- a/crates/clementinepond_daemon/src/configuration/mod.rs
+++ b/crates/clementinepond_daemon/src/configuration/mod.rs
@@ -1,12 +1,12 @@
 //! The configuration in force at this VM.
 
+mod active;
 mod fleet_view;
-mod in_force;
 mod key;
 mod snapshot;
 
+pub(crate) use active::ActiveConfiguration;
 pub(crate) use fleet_view::fleet_view;
-pub(crate) use in_force::ConfigurationInForce;
 pub use key::key_digest;
 pub(crate) use key::{KeyLookup, find_key};
 pub(crate) use snapshot::ConfigurationSnapshot;
--- a/crates/clementinepond_daemon/src/daemon/listener.rs
+++ b/crates/clementinepond_daemon/src/daemon/listener.rs
@@ -12,7 +12,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Where and how a listener listens.
-pub(super) struct ListenerPlan<'a> {
+pub(super) struct ListenerConfig<'a> {
     pub(super) setting: &'static str,
     pub(super) address: SocketAddr,
     pub(super) tls: Option<&'a TlsSettings>,
@@ -25,7 +25,7 @@
     pub(super) task: JoinHandle<()>,
 }
 
-impl ListenerPlan<'_> {
+impl ListenerConfig<'_> {
     /// Opens the listener; it stops gracefully when the token is cancelled.
     pub(super) async fn open(
         &self,
--- a/crates/clementinepond_daemon/src/daemon/no_delay_listener.rs
+++ b/crates/clementinepond_daemon/src/daemon/no_delay_listener.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpSocket;
 
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+const ACCEPT_BACKLOG: u32 = 1024;
 
 /// Listens with Nagle's algorithm off.
 ///
@@ -33,5 +33,5 @@
     socket.set_reuseaddr(true)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
-    TcpAcceptor::try_from(socket.listen(BACKLOG)?)
+    TcpAcceptor::try_from(socket.listen(ACCEPT_BACKLOG)?)
 }
--- a/crates/clementinepond_daemon/src/daemon/running.rs
+++ b/crates/clementinepond_daemon/src/daemon/running.rs
@@ -1,15 +1,15 @@
 //! A VM that serves.
 
-use super::listener::ListenerPlan;
+use super::listener::ListenerConfig;
 use super::node_settings::node_settings;
 use super::{DaemonError, listener::OpenListener};
 use crate::admin::{AdminState, admin_router};
 use crate::caller::{CallerState, caller_router};
 use crate::clock::LocalClock;
-use crate::configuration::{ConfigurationInForce, ConfigurationSnapshot};
-use crate::endpoint::{EndpointEdge, run_reports};
-use crate::node::{NodeEdges, NodeHandle, run_node};
-use crate::peer::{PeerEdge, PeerListener, open_peer_listener};
+use crate::configuration::{ActiveConfiguration, ConfigurationSnapshot};
+use crate::endpoint::{EndpointClient, poll_reports};
+use crate::node::{NodeHandle, NodeIo, run_node};
+use crate::peer::{PeerListener, PeerSender, open_peer_listener};
 use crate::platform::{PlatformClient, PlatformWorker};
 use crate::telemetry::{MetricSet, TraceLog, TraceSource, open_traces};
 use clementinepond_decide::node::{NodeEvent, NodeState};
@@ -40,7 +40,7 @@
 }
 
 /// What the listeners and tasks share.
-struct DaemonParts {
+struct DaemonComponents {
     clock: LocalClock,
     node: NodeHandle,
     platform: PlatformClient,
@@ -65,9 +65,9 @@
         stopping: CancellationToken,
     ) -> Result<Self, DaemonError> {
         let tasks = CancellationToken::new();
-        let parts = start_tasks(&settings, &tasks)?;
-        let callers = open_callers(&settings, &parts, &stopping).await?;
-        let operators = open_operators(&settings, &parts, &stopping).await?;
+        let components = start_tasks(&settings, &tasks)?;
+        let callers = open_caller_listener(&settings, &components, &stopping).await?;
+        let operators = open_admin_listener(&settings, &components, &stopping).await?;
         log::info!(
             "event=vm_started vm={} data_centre={} caller={} admin={}",
             settings.vm,
@@ -80,10 +80,10 @@
             admin_address: operators.address,
             listeners: vec![callers.task, operators.task],
             tasks,
-            traces: parts.traces,
-            node: parts.node,
-            released: parts.released,
-            peer: parts.peer,
+            traces: components.traces,
+            node: components.node,
+            released: components.released,
+            peer: components.peer,
         })
     }
 
@@ -133,13 +133,13 @@
 fn start_tasks(
     settings: &VmSettings,
     tasks: &CancellationToken,
-) -> Result<DaemonParts, DaemonError> {
+) -> Result<DaemonComponents, DaemonError> {
     let clock = LocalClock::start();
     let (input_sender, inputs) = mpsc::unbounded_channel();
     let node = NodeHandle::new(input_sender);
     let (snapshot_sender, snapshot) = watch::channel(Arc::default());
     let (address_sender, addresses) = watch::channel(Arc::default());
-    let endpoints = EndpointEdge::new(clock, settings.endpoint.clone(), addresses);
+    let endpoints = EndpointClient::new(clock, settings.endpoint.clone(), addresses);
     let trace_log = Arc::new(TraceLog::new(settings.telemetry.trace_history));
     let (metrics, traces) = open_telemetry(settings, &trace_log)?;
     let platform = PlatformClient::new(settings.platform.clone(), Arc::clone(&metrics));
@@ -147,10 +147,10 @@
     let address = settings.peer.advertise.unwrap_or(peer.address);
     let released = CancellationToken::new();
     let (ready_sender, ready) = watch::channel(false);
-    let edges = NodeEdges {
+    let io = NodeIo {
         clock,
         endpoints: endpoints.clone(),
-        peers: PeerEdge::new(
+        peers: PeerSender::new(
             settings.vm.clone(),
             &settings.peer.secret,
             Arc::clone(&metrics),
@@ -161,7 +161,7 @@
             clock,
             data_centre: settings.data_centre.clone(),
         },
-        in_force: ConfigurationInForce {
+        active_configuration: ActiveConfiguration {
             clock,
             data_centre: settings.data_centre.clone(),
             snapshot: snapshot_sender,
@@ -174,9 +174,9 @@
         ready: ready_sender,
     };
     let state = NodeState::new(node_settings(settings, address), clock.now());
-    tokio::spawn(run_node(state, edges, inputs, tasks.clone()));
-    tokio::spawn(run_reports(endpoints, node.clone(), tasks.clone()));
-    Ok(DaemonParts {
+    tokio::spawn(run_node(state, io, inputs, tasks.clone()));
+    tokio::spawn(poll_reports(endpoints, node.clone(), tasks.clone()));
+    Ok(DaemonComponents {
         clock,
         node,
         platform,
@@ -216,54 +216,54 @@
     Ok((Arc::new(metrics), traces))
 }
 
-async fn open_callers(
+async fn open_caller_listener(
     settings: &VmSettings,
-    parts: &DaemonParts,
+    components: &DaemonComponents,
     stopping: &CancellationToken,
 ) -> Result<OpenListener, DaemonError> {
     let state = CallerState {
-        clock: parts.clock,
+        clock: components.clock,
         caller: settings.caller.clone(),
         request: settings.request.clone(),
-        node: parts.node.clone(),
-        snapshot: parts.snapshot.clone(),
-        metrics: Arc::clone(&parts.metrics),
-        traces: parts.traces.clone(),
+        node: components.node.clone(),
+        snapshot: components.snapshot.clone(),
+        metrics: Arc::clone(&components.metrics),
+        traces: components.traces.clone(),
         slots: Arc::new(Semaphore::new(settings.caller.concurrent_requests)),
         stopping: stopping.clone(),
     };
-    let plan = ListenerPlan {
+    let listener = ListenerConfig {
         setting: "caller.listen",
         address: settings.caller.listen,
         tls: settings.caller.tls.as_ref(),
         shutdown_wait: settings.request.shutdown_wait,
     };
-    plan.open(caller_router(state), stopping.clone()).await
+    listener.open(caller_router(state), stopping.clone()).await
 }
 
-async fn open_operators(
+async fn open_admin_listener(
     settings: &VmSettings,
-    parts: &DaemonParts,
+    components: &DaemonComponents,
     stopping: &CancellationToken,
 ) -> Result<OpenListener, DaemonError> {
     let state = AdminState {
         vm: settings.vm.clone(),
         data_centre: settings.data_centre.clone(),
-        clock: parts.clock,
+        clock: components.clock,
         credential_digest: settings.admin.credential_digest,
-        platform: parts.platform.clone(),
-        node: parts.node.clone(),
-        snapshot: parts.snapshot.clone(),
-        metrics: Arc::clone(&parts.metrics),
-        trace_log: Arc::clone(&parts.trace_log),
-        ready: parts.ready.clone(),
+        platform: components.platform.clone(),
+        node: components.node.clone(),
+        snapshot: components.snapshot.clone(),
+        metrics: Arc::clone(&components.metrics),
+        trace_log: Arc::clone(&components.trace_log),
+        ready: components.ready.clone(),
         stopping: stopping.clone(),
     };
-    let plan = ListenerPlan {
+    let listener = ListenerConfig {
         setting: "admin.listen",
         address: settings.admin.listen,
         tls: None,
         shutdown_wait: settings.request.shutdown_wait,
     };
-    plan.open(admin_router(state), stopping.clone()).await
+    listener.open(admin_router(state), stopping.clone()).await
 }
--- a/crates/clementinepond_daemon/src/endpoint/attempt.rs
+++ b/crates/clementinepond_daemon/src/endpoint/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request at one endpoint.
 
-use super::EndpointEdge;
-use crate::node::{CallBody, CallKind, CallSignal, NodeHandle};
+use super::EndpointClient;
+use crate::node::{AnswerMessage, CallBody, CallKind, NodeHandle};
 use crate::telemetry::{SpanRecorder, end_span};
 use bytes::Bytes;
 use clementinepond_decide::claim::RecordedAnswer;
@@ -26,10 +26,10 @@
 
 /// One attempt of a request at one endpoint.
 pub(super) struct Attempt {
-    pub(super) edge: EndpointEdge,
+    pub(super) client: EndpointClient,
     pub(super) order: DispatchOrder,
     pub(super) body: Arc<CallBody>,
-    pub(super) signals: mpsc::Sender<CallSignal>,
+    pub(super) messages: mpsc::Sender<AnswerMessage>,
     pub(super) cancellation: CancellationToken,
     pub(super) node: NodeHandle,
     pub(super) spans: SpanRecorder,
@@ -39,17 +39,17 @@
     /// Runs the attempt and reports its outcome.
     pub(super) async fn run(self) {
         let cancellation = self.cancellation.clone();
-        let caller = self.signals.clone();
+        let caller = self.messages.clone();
         let mut span = self.spans.start("attempt", self.attributes());
         tokio::select! {
             outcome = self.perform() => {
                 end_span(&mut span, outcome_name(&outcome));
-                self.end(outcome);
+                self.report_end(outcome);
             }
             () = cancellation.cancelled() => end_span(&mut span, "cancelled"),
             () = caller.closed() => {
                 end_span(&mut span, "caller_left");
-                self.leave();
+                self.report_caller_left();
             }
         }
     }
@@ -64,14 +64,14 @@
 
     async fn perform(&self) -> AttemptOutcome {
         // A process that was paused may hold an order that has lapsed.
-        if self.edge.clock.now() >= self.order.deadline {
+        if self.client.clock.now() >= self.order.deadline {
             log::warn!(
                 "event=dispatch_dropped ticket={} reason=lapsed",
                 self.order.ticket
             );
             return AttemptOutcome::NotSent;
         }
-        let Some(address) = self.edge.address(&self.order.endpoint) else {
+        let Some(address) = self.client.address(&self.order.endpoint) else {
             return AttemptOutcome::NotSent;
         };
         match &self.body.kind {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn end(&self, outcome: AttemptOutcome) {
+    fn report_end(&self, outcome: AttemptOutcome) {
         log::info!(
             "event=attempt_ended request={} attempt={} endpoint={} outcome={}",
             self.body.request_id,
@@ -88,20 +88,20 @@
             self.order.endpoint,
             outcome_name(&outcome),
         );
-        self.tell(RequestEvent::AttemptEnded {
+        self.notify(RequestEvent::AttemptEnded {
             ticket: self.order.ticket,
             attempt: self.order.attempt,
             outcome,
         });
     }
 
-    fn leave(&self) {
-        self.tell(RequestEvent::CallerLeft {
+    fn report_caller_left(&self) {
+        self.notify(RequestEvent::CallerLeft {
             ticket: self.order.ticket,
         });
     }
 
-    pub(super) fn tell(&self, event: RequestEvent) {
+    pub(super) fn notify(&self, event: RequestEvent) {
         self.node.send_event(NodeEvent::Request(event));
     }
 
@@ -111,11 +111,11 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, AttemptOutcome> {
         let client = if self.body.is_repeatable {
-            &self.edge.client
+            &self.client.client
         } else {
-            &self.edge.fresh_client
+            &self.client.unpooled_client
         };
-        let timeout = self.edge.settings.answer_timeout;
+        let timeout = self.client.settings.answer_timeout;
         crate::http::send(client, request, timeout)
             .await
             .map_err(|failure| match failure {
@@ -130,12 +130,12 @@
             .get(REQUEST_ID_HEADER)
             .is_some_and(|id| id.as_bytes() == self.body.request_id.as_str().as_bytes());
         if !is_own {
-            self.note_crossed();
+            self.log_crossed_answer();
         }
         is_own
     }
 
-    pub(super) fn note_crossed(&self) {
+    pub(super) fn log_crossed_answer(&self) {
         log::warn!(
             "event=answer_crossed request={} endpoint={}",
             self.body.request_id,
@@ -161,14 +161,19 @@
         }))
     }
 
-    pub(super) async fn pass_whole(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) {
-        let signal = CallSignal::Whole {
+    pub(super) async fn send_complete_answer(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        body: Bytes,
+    ) {
+        let message = AnswerMessage::Complete {
             status,
             content_type: content_type(headers).into(),
             body,
         };
         // The caller may have gone; its end is reported by `run`.
-        let _ = self.signals.send(signal).await;
+        let _ = self.messages.send(message).await;
     }
 }
 
--- a/crates/clementinepond_daemon/src/endpoint/edge.rs
+++ b/crates/clementinepond_daemon/src/endpoint/client.rs
@@ -28,16 +28,16 @@
 
 /// What every call to an endpoint shares.
 #[derive(Debug, Clone)]
-pub(crate) struct EndpointEdge {
+pub(crate) struct EndpointClient {
     pub(crate) clock: LocalClock,
     pub(crate) settings: EndpointSettings,
     pub(crate) client: HttpClient,
     /// Client that never reuses a connection, for calls that run only once.
-    pub(crate) fresh_client: HttpClient,
+    pub(crate) unpooled_client: HttpClient,
     pub(crate) addresses: watch::Receiver<Arc<AddressBook>>,
 }
 
-impl EndpointEdge {
+impl EndpointClient {
     pub(crate) fn new(
         clock: LocalClock,
         settings: EndpointSettings,
@@ -46,7 +46,7 @@
         Self {
             clock,
             client: new_client(settings.connect_timeout),
-            fresh_client: crate::http::new_fresh_client(settings.connect_timeout),
+            unpooled_client: crate::http::new_unpooled_client(settings.connect_timeout),
             settings,
             addresses,
         }
@@ -66,10 +66,10 @@
     /// Starts an attempt in a task of its own.
     pub(crate) fn start_attempt(&self, order: DispatchOrder, call: &CallerCall, node: &NodeHandle) {
         let attempt = Attempt {
-            edge: self.clone(),
+            client: self.clone(),
             order,
             body: Arc::clone(&call.body),
-            signals: call.signals.clone(),
+            messages: call.messages.clone(),
             cancellation: call.cancellation.clone(),
             node: node.clone(),
             spans: call.spans.clone(),
@@ -79,9 +79,9 @@
 
     /// Tells an endpoint to stop a request.
     pub(crate) fn cancel(&self, endpoint: EndpointId, request_id: RequestId) {
-        let edge = self.clone();
+        let client = self.clone();
         tokio::spawn(async move {
-            let Some(address) = edge.address(&endpoint) else {
+            let Some(address) = client.address(&endpoint) else {
                 return;
             };
             let uri = format!("http://{address}/v1/requests/{request_id}");
@@ -92,8 +92,8 @@
             let Ok(request) = request else {
                 return;
             };
-            let timeout = edge.settings.connect_timeout;
-            if let Err(error) = send(&edge.client, request, timeout).await {
+            let timeout = client.settings.connect_timeout;
+            if let Err(error) = send(&client.client, request, timeout).await {
                 log::info!(
                     "event=cancel_failed endpoint={endpoint} request={request_id} error=\"{error}\""
                 );
--- a/crates/clementinepond_daemon/src/endpoint/inference.rs
+++ b/crates/clementinepond_daemon/src/endpoint/inference.rs
@@ -1,7 +1,7 @@
 //! Attempts of the inference API.
 
 use super::attempt::{Attempt, BROKEN, PRIORITY_HEADER, REQUEST_ID_HEADER, is_not_run, uri};
-use crate::node::{CallKind, CallSignal};
+use crate::node::{AnswerMessage, CallKind};
 use bytes::Bytes;
 use clementinepond_decide::request::{AttemptOutcome, RequestEvent};
 use eventsource_stream::Eventsource;
@@ -80,9 +80,9 @@
             return BROKEN;
         }
         match response.status() {
-            StatusCode::OK if *is_streamed => self.pass_stream(response).await,
+            StatusCode::OK if *is_streamed => self.forward_stream(response).await,
             status if status.is_server_error() => BROKEN,
-            _ => self.pass_answer(response).await,
+            _ => self.forward_answer(response).await,
         }
     }
 
@@ -105,36 +105,38 @@
             .ok()
     }
 
-    async fn pass_answer(&self, response: Response<Incoming>) -> AttemptOutcome {
+    async fn forward_answer(&self, response: Response<Incoming>) -> AttemptOutcome {
         let (parts, body) = response.into_parts();
         let whole = Limited::new(body, ANSWER_LIMIT_BYTES).collect();
-        let limit = self.edge.settings.answer_timeout.duration();
+        let limit = self.client.settings.answer_timeout.duration();
         let Ok(Ok(whole)) = tokio::time::timeout(limit, whole).await else {
             return BROKEN;
         };
         let body = whole.to_bytes();
         if !parts.status.is_success() {
-            self.pass_whole(parts.status, &parts.headers, body).await;
+            self.send_complete_answer(parts.status, &parts.headers, body)
+                .await;
             return AttemptOutcome::Rejected;
         }
         let Ok(head) = serde_json::from_slice::<AnswerHead>(&body) else {
             return BROKEN;
         };
         if *head.id != *self.body.request_id.as_str() {
-            self.note_crossed();
+            self.log_crossed_answer();
             return BROKEN;
         }
         let record = self.record(parts.status, &parts.headers, &body);
-        self.pass_whole(parts.status, &parts.headers, body).await;
+        self.send_complete_answer(parts.status, &parts.headers, body)
+            .await;
         AttemptOutcome::Complete {
             used_tokens: head.usage.map(|usage| usage.total_tokens),
             record,
         }
     }
 
-    async fn pass_stream(&self, response: Response<Incoming>) -> AttemptOutcome {
+    async fn forward_stream(&self, response: Response<Incoming>) -> AttemptOutcome {
         let mut events = BodyDataStream::new(response.into_body()).eventsource();
-        let limit = self.edge.settings.token_timeout.duration();
+        let limit = self.client.settings.token_timeout.duration();
         let mut used_tokens = None;
         let mut delivered_tokens = 0;
         loop {
@@ -152,25 +154,25 @@
                 return AttemptOutcome::Broken { delivered_tokens };
             };
             if *head.id != *self.body.request_id.as_str() {
-                self.note_crossed();
+                self.log_crossed_answer();
                 return AttemptOutcome::Broken { delivered_tokens };
             }
             if let Some(usage) = &head.usage {
                 used_tokens = Some(usage.total_tokens);
             }
             let tokens = head.tokens();
-            let chunk = CallSignal::Chunk(Bytes::from(event.data));
-            if self.signals.send(chunk).await.is_err() {
+            let chunk = AnswerMessage::Chunk(Bytes::from(event.data));
+            if self.messages.send(chunk).await.is_err() {
                 return AttemptOutcome::Broken { delivered_tokens };
             }
             delivered_tokens += tokens;
-            self.note_progress(tokens);
+            self.report_progress(tokens);
         }
     }
 
-    fn note_progress(&self, tokens: u64) {
+    fn report_progress(&self, tokens: u64) {
         if tokens > 0 {
-            self.tell(RequestEvent::Progressed {
+            self.notify(RequestEvent::Progressed {
                 ticket: self.order.ticket,
                 tokens,
             });
--- a/crates/clementinepond_daemon/src/endpoint/mod.rs
+++ b/crates/clementinepond_daemon/src/endpoint/mod.rs
@@ -1,12 +1,12 @@
 //! Calls to endpoints: attempts, cancellation and reports.
 
 mod attempt;
-mod edge;
+mod client;
 mod inference;
 mod order;
 mod report;
 mod service;
 
-pub(crate) use edge::{AddressBook, EndpointAddress, EndpointEdge};
+pub(crate) use client::{AddressBook, EndpointAddress, EndpointClient};
 pub(crate) use order::PlanOrder;
-pub(crate) use report::run_reports;
+pub(crate) use report::poll_reports;
--- a/crates/clementinepond_daemon/src/endpoint/order.rs
+++ b/crates/clementinepond_daemon/src/endpoint/order.rs
@@ -1,6 +1,6 @@
 //! Orders of the plan to endpoints.
 
-use super::EndpointEdge;
+use super::EndpointClient;
 use super::attempt::uri;
 use crate::http::send;
 use crate::node::NodeHandle;
@@ -30,13 +30,13 @@
     action: &'a EndpointAction,
 }
 
-impl EndpointEdge {
+impl EndpointClient {
     /// Sends an order in a task of its own and reports the answer.
     pub(crate) fn start_order(&self, order: PlanOrder, node: &NodeHandle) {
-        let edge = self.clone();
+        let client = self.clone();
         let node = node.clone();
         tokio::spawn(async move {
-            let reply = edge.order(&order).await;
+            let reply = client.order(&order).await;
             log::info!(
                 "event=order_answered endpoint={} order={} reply={reply:?}",
                 order.endpoint,
@@ -78,7 +78,7 @@
             return OrderReply::Unknown;
         };
         let timeout = now.until(order.deadline);
-        match send(&self.fresh_client, request, timeout).await {
+        match send(&self.unpooled_client, request, timeout).await {
             Ok(response) => reply(response.status()),
             Err(_) => OrderReply::Unknown,
         }
--- a/crates/clementinepond_daemon/src/endpoint/report.rs
+++ b/crates/clementinepond_daemon/src/endpoint/report.rs
@@ -1,6 +1,6 @@
 //! Reports and cache events of endpoints.
 
-use super::EndpointEdge;
+use super::EndpointClient;
 use super::attempt::uri;
 use crate::http::{read_json, send};
 use crate::node::NodeHandle;
@@ -50,64 +50,69 @@
 }
 
 /// Reads the reports of all endpoints until the token is cancelled.
-pub(crate) async fn run_reports(
-    edge: EndpointEdge,
+pub(crate) async fn poll_reports(
+    client: EndpointClient,
     node: NodeHandle,
     cancellation: CancellationToken,
 ) {
-    let mut ticks = tokio::time::interval(edge.settings.report_interval.duration());
+    let mut ticks = tokio::time::interval(client.settings.report_interval.duration());
     let mut positions: BTreeMap<EndpointId, u64> = BTreeMap::new();
     loop {
         tokio::select! {
             () = cancellation.cancelled() => return,
-            _ = ticks.tick() => read_all(&edge, &node, &mut positions).await,
+            _ = ticks.tick() => poll_all(&client, &node, &mut positions).await,
         }
     }
 }
 
-async fn read_all(
-    edge: &EndpointEdge,
+async fn poll_all(
+    client: &EndpointClient,
     node: &NodeHandle,
     positions: &mut BTreeMap<EndpointId, u64>,
 ) {
-    let endpoints: Vec<EndpointId> = edge.addresses.borrow().keys().cloned().collect();
+    let endpoints: Vec<EndpointId> = client.addresses.borrow().keys().cloned().collect();
     positions.retain(|endpoint, _| endpoints.contains(endpoint));
-    let mut readings = JoinSet::new();
+    let mut polls = JoinSet::new();
     for endpoint in endpoints {
         let position = positions.get(&endpoint).copied().unwrap_or(0);
-        readings.spawn(read_one(edge.clone(), node.clone(), endpoint, position));
+        polls.spawn(poll_endpoint(
+            client.clone(),
+            node.clone(),
+            endpoint,
+            position,
+        ));
     }
-    while let Some(reading) = readings.join_next().await {
-        if let Ok((endpoint, position)) = reading {
+    while let Some(poll) = polls.join_next().await {
+        if let Ok((endpoint, position)) = poll {
             positions.insert(endpoint, position);
         }
     }
 }
 
-async fn read_one(
-    edge: EndpointEdge,
+async fn poll_endpoint(
+    client: EndpointClient,
     node: NodeHandle,
     endpoint: EndpointId,
     position: u64,
 ) -> (EndpointId, u64) {
-    let asked_at = edge.clock.now();
-    if let Some(body) = fetch::<ReportBody>(&edge, &endpoint, "/report").await {
+    let requested_at = client.clock.now();
+    if let Some(body) = fetch::<ReportBody>(&client, &endpoint, "/report").await {
         let observation = EndpointObservation {
             report: body.report,
             running: body.running,
             queued: body.queued,
-            asked_at,
+            requested_at,
         };
         node.send_event(NodeEvent::EndpointReported {
             endpoint: endpoint.clone(),
             observation: Box::new(observation),
         });
     }
-    if !edge.is_engine(&endpoint) {
+    if !client.is_engine(&endpoint) {
         return (endpoint, position);
     }
     let path = format!("/cache-events?from={position}&wait-ms=0");
-    let Some(page) = fetch::<CachePage>(&edge, &endpoint, &path).await else {
+    let Some(page) = fetch::<CachePage>(&client, &endpoint, &path).await else {
         return (endpoint, position);
     };
     for event in page.events {
@@ -125,17 +130,17 @@
 }
 
 async fn fetch<T: DeserializeOwned>(
-    edge: &EndpointEdge,
+    client: &EndpointClient,
     endpoint: &EndpointId,
     path: &str,
 ) -> Option<T> {
-    let address = edge.address(endpoint)?;
+    let address = client.address(endpoint)?;
     let request = Request::builder()
         .uri(uri(address, path))
         .body(Full::new(Bytes::new()))
         .ok()?;
-    let timeout: TimeSpan = edge.settings.connect_timeout;
-    let response = send(&edge.client, request, timeout).await.ok()?;
+    let timeout: TimeSpan = client.settings.connect_timeout;
+    let response = send(&client.client, request, timeout).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
--- a/crates/clementinepond_daemon/src/endpoint/service.rs
+++ b/crates/clementinepond_daemon/src/endpoint/service.rs
@@ -29,7 +29,7 @@
         }
         let (parts, body) = response.into_parts();
         let whole = Limited::new(body, ANSWER_LIMIT_BYTES).collect();
-        let limit = self.edge.settings.answer_timeout.duration();
+        let limit = self.client.settings.answer_timeout.duration();
         let Ok(Ok(whole)) = tokio::time::timeout(limit, whole).await else {
             return BROKEN;
         };
@@ -38,7 +38,8 @@
         }
         let body = whole.to_bytes();
         let record = self.record(parts.status, &parts.headers, &body);
-        self.pass_whole(parts.status, &parts.headers, body).await;
+        self.send_complete_answer(parts.status, &parts.headers, body)
+            .await;
         AttemptOutcome::Complete {
             used_tokens: None,
             record,
--- a/crates/clementinepond_daemon/src/http/http_client.rs
+++ b/crates/clementinepond_daemon/src/http/http_client.rs
@@ -48,7 +48,7 @@
 }
 
 /// Makes a client that opens a connection for each call.
-pub(crate) fn new_fresh_client(connect_timeout: TimeSpan) -> HttpClient {
+pub(crate) fn new_unpooled_client(connect_timeout: TimeSpan) -> HttpClient {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(connect_timeout.duration()));
--- a/crates/clementinepond_daemon/src/http/mod.rs
+++ b/crates/clementinepond_daemon/src/http/mod.rs
@@ -3,5 +3,5 @@
 mod http_client;
 
 pub(crate) use http_client::{
-    HttpClient, HttpFailure, new_client, new_fresh_client, read_json, send,
+    HttpClient, HttpFailure, new_client, new_unpooled_client, read_json, send,
 };
--- a/crates/clementinepond_daemon/src/node/call.rs
+++ b/crates/clementinepond_daemon/src/node/call.rs
@@ -46,11 +46,11 @@
 
 /// What reaches the caller's side of a request.
 #[derive(Debug)]
-pub(crate) enum CallSignal {
+pub(crate) enum AnswerMessage {
     /// One chunk of a streamed answer, as JSON.
     Chunk(Bytes),
     /// A whole answer.
-    Whole {
+    Complete {
         status: StatusCode,
         content_type: Box<str>,
         body: Bytes,
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerCall {
     pub(crate) body: Arc<CallBody>,
-    pub(crate) signals: mpsc::Sender<CallSignal>,
+    pub(crate) messages: mpsc::Sender<AnswerMessage>,
     pub(crate) end: oneshot::Sender<RequestEnd>,
     /// Cancelled when the request ends.
     pub(crate) cancellation: CancellationToken,
--- a/crates/clementinepond_daemon/src/node/carry_out.rs
+++ b/crates/clementinepond_daemon/src/node/effects.rs
@@ -15,9 +15,9 @@
         let Some(running) = self.calls.get(&order.ticket) else {
             return;
         };
-        self.edges
+        self.io
             .endpoints
-            .start_attempt(order, &running.call, &self.edges.handle);
+            .start_attempt(order, &running.call, &self.io.handle);
     }
 
     pub(super) fn cancel(&mut self, ticket: RequestTicket, endpoint: Option<EndpointId>) {
@@ -27,7 +27,7 @@
         running.call.cancellation.cancel();
         if let Some(endpoint) = endpoint {
             let request_id = running.call.body.request_id.clone();
-            self.edges.endpoints.cancel(endpoint, request_id);
+            self.io.endpoints.cancel(endpoint, request_id);
         }
     }
 
@@ -39,24 +39,24 @@
         }
     }
 
-    pub(super) fn carry_roster(&mut self, effect: RosterEffect) {
+    pub(super) fn handle_roster_effect(&mut self, effect: RosterEffect) {
         match effect {
-            RosterEffect::LearnAddress { vm, address } => self.edges.peers.learn(vm, address),
-            other => self.edges.platform.roster(other),
+            RosterEffect::LearnAddress { vm, address } => self.io.peers.connect(vm, address),
+            other => self.io.platform.roster(other),
         }
     }
 
-    pub(super) fn carry_crash(&self, effect: CrashEffect) {
+    pub(super) fn handle_crash_effect(&self, effect: CrashEffect) {
         match effect {
             CrashEffect::VerdictChanged {
                 fingerprint,
                 released,
             } => log::warn!("event=verdict_changed request={fingerprint} released={released}"),
-            other => self.edges.platform.crash(other),
+            other => self.io.platform.crash(other),
         }
     }
 
-    pub(super) fn carry_plan(&mut self, effect: PlanEffect) {
+    pub(super) fn handle_plan_effect(&mut self, effect: PlanEffect) {
         match effect {
             PlanEffect::Order {
                 endpoint,
@@ -72,23 +72,23 @@
                     action,
                     deadline,
                 };
-                self.edges.endpoints.start_order(order, &self.edges.handle);
+                self.io.endpoints.start_order(order, &self.io.handle);
             }
             PlanEffect::Publish { status } => self.plan = Some(status),
-            other => self.edges.platform.plan(other),
+            other => self.io.platform.plan(other),
         }
     }
 
-    pub(super) fn carry_configuration(&mut self, effect: ConfigurationEffect) {
+    pub(super) fn handle_configuration_effect(&mut self, effect: ConfigurationEffect) {
         match effect {
             ConfigurationEffect::Apply { version, text } => self.apply(version, &text),
             ConfigurationEffect::KeyWithdrawn { key } => {
-                self.edges.in_force.withdraw(key);
+                self.io.active_configuration.withdraw(key);
                 self.end_streams(&[key]);
             }
             ConfigurationEffect::CheckKeys { keys } => self.check_keys(keys),
             ConfigurationEffect::AcceptKeys { deadline } => {
-                self.edges.in_force.accept_keys(deadline);
+                self.io.active_configuration.accept_keys(deadline);
             }
             ConfigurationEffect::WithdrawalAccepted { request, copies } => {
                 self.answer_withdrawal(request, Ok(copies));
@@ -96,12 +96,12 @@
             ConfigurationEffect::WithdrawalRefused { request, limit } => {
                 self.answer_withdrawal(request, Err(limit));
             }
-            other => self.edges.platform.configuration(other),
+            other => self.io.platform.configuration(other),
         }
     }
 
     fn apply(&mut self, version: ObjectVersion, text: &str) {
-        match self.edges.in_force.apply(version, text) {
+        match self.io.active_configuration.apply(version, text) {
             Ok(applied) => {
                 self.reduce(NodeEvent::FleetChanged(Box::new(applied.view)));
                 self.end_streams(&applied.withdrawn);
@@ -119,8 +119,8 @@
     }
 
     fn check_keys(&mut self, checked: Vec<KeyDigest>) {
-        let present = self.edges.in_force.present_keys(&checked);
-        let version = self.edges.in_force.version();
+        let present = self.io.active_configuration.present_keys(&checked);
+        let version = self.io.active_configuration.version();
         self.reduce(NodeEvent::Configuration(ConfigurationEvent::KeysChecked {
             version,
             checked,
--- a/crates/clementinepond_daemon/src/node/mod.rs
+++ b/crates/clementinepond_daemon/src/node/mod.rs
@@ -1,14 +1,14 @@
 //! The task that runs the reducer and carries out its effects.
 
 mod call;
-mod carry_out;
+mod effects;
 mod handle;
 mod input;
 mod status;
 mod task;
 
-pub(crate) use call::{CallBody, CallKind, CallSignal, CallerCall};
+pub(crate) use call::{AnswerMessage, CallBody, CallKind, CallerCall};
 pub(crate) use handle::NodeHandle;
 pub(crate) use input::NodeInput;
 pub(crate) use status::NodeStatus;
-pub(crate) use task::{NodeEdges, WithdrawalAnswer, run_node};
+pub(crate) use task::{NodeIo, WithdrawalAnswer, run_node};
--- a/crates/clementinepond_daemon/src/node/status.rs
+++ b/crates/clementinepond_daemon/src/node/status.rs
@@ -11,7 +11,7 @@
 pub(crate) struct NodeStatus {
     pub(crate) running_requests: usize,
     pub(crate) roster: RosterStatus,
-    pub(crate) accounts: Vec<AccountLine>,
+    pub(crate) accounts: Vec<AccountStatus>,
     pub(crate) endpoints: Vec<EndpointStatus>,
     pub(crate) plan_phase: &'static str,
     pub(crate) plan: Option<Box<PlanStatus>>,
@@ -31,7 +31,7 @@
 
 /// What the administration API shows of one account on this VM.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct AccountLine {
+pub(crate) struct AccountStatus {
     pub(crate) account: Box<str>,
     pub(crate) home: Box<str>,
     pub(crate) level: Box<str>,
@@ -72,7 +72,7 @@
 
 impl NodeTask {
     pub(super) fn status(&mut self) -> NodeStatus {
-        let accounts = self.account_lines();
+        let accounts = self.account_statuses();
         let endpoints = self.state.routes.endpoints.iter();
         NodeStatus {
             running_requests: self.state.requests.len(),
@@ -90,7 +90,7 @@
         let roster = &self.state.roster;
         let table = roster.own_table();
         let usable = roster.announced();
-        let now = self.edges.clock.now();
+        let now = self.io.clock.now();
         let name = |vm: &VmId| -> Box<str> { vm.as_str().into() };
         RosterStatus {
             stage: format!("{:?}", roster.stage()).into(),
@@ -105,15 +105,15 @@
         }
     }
 
-    fn account_lines(&mut self) -> Vec<AccountLine> {
-        let snapshot = self.edges.in_force.snapshot();
-        let now = self.edges.clock.now();
+    fn account_statuses(&mut self) -> Vec<AccountStatus> {
+        let snapshot = self.io.active_configuration.snapshot();
+        let now = self.io.clock.now();
         let accounts = snapshot.configuration.accounts.keys();
         accounts
             .filter_map(|account| {
                 let status = self.state.limit.account_status(account, now)?;
                 let home = self.state.limit.owner(account);
-                Some(AccountLine {
+                Some(AccountStatus {
                     account: account.as_str().into(),
                     home: home.map_or_else(Box::default, |vm| vm.as_str().into()),
                     level: status.level.to_string().into(),
--- a/crates/clementinepond_daemon/src/node/task.rs
+++ b/crates/clementinepond_daemon/src/node/task.rs
@@ -2,9 +2,9 @@
 
 use super::{CallerCall, NodeHandle, NodeInput};
 use crate::clock::LocalClock;
-use crate::configuration::ConfigurationInForce;
-use crate::endpoint::EndpointEdge;
-use crate::peer::PeerEdge;
+use crate::configuration::ActiveConfiguration;
+use crate::endpoint::EndpointClient;
+use crate::peer::PeerSender;
 use crate::platform::PlatformWorker;
 use clementinepond_decide::configuration::ConfigurationEvent;
 use clementinepond_decide::node::{NodeEffect, NodeEvent, NodeState, reduce};
@@ -22,12 +22,12 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What the node task needs to carry out effects.
-pub(crate) struct NodeEdges {
+pub(crate) struct NodeIo {
     pub(crate) clock: LocalClock,
-    pub(crate) endpoints: EndpointEdge,
-    pub(crate) peers: PeerEdge,
+    pub(crate) endpoints: EndpointClient,
+    pub(crate) peers: PeerSender,
     pub(crate) platform: PlatformWorker,
-    pub(crate) in_force: ConfigurationInForce,
+    pub(crate) active_configuration: ActiveConfiguration,
     pub(crate) random: ChaCha8Rng,
     pub(crate) handle: NodeHandle,
     /// Cancelled once the VM holds nothing any more.
@@ -47,7 +47,7 @@
 
 pub(super) struct NodeTask {
     pub(super) state: NodeState,
-    pub(super) edges: NodeEdges,
+    pub(super) io: NodeIo,
     pub(super) calls: HashMap<RequestTicket, RunningCall>,
     pub(super) withdrawals: HashMap<u64, oneshot::Sender<WithdrawalAnswer>>,
     pub(super) next_withdrawal: u64,
@@ -57,13 +57,13 @@
 /// Runs the reducer until the token is cancelled.
 pub(crate) async fn run_node(
     state: NodeState,
-    edges: NodeEdges,
+    io: NodeIo,
     mut inputs: mpsc::UnboundedReceiver<NodeInput>,
     cancellation: CancellationToken,
 ) {
     let mut task = NodeTask {
         state,
-        edges,
+        io,
         calls: HashMap::new(),
         withdrawals: HashMap::new(),
         next_withdrawal: 0,
@@ -75,7 +75,7 @@
         tokio::select! {
             () = cancellation.cancelled() => return,
             input = inputs.recv() => match input {
-                Some(input) => task.take(input),
+                Some(input) => task.handle_input(input),
                 None => return,
             },
             _ = ticks.tick() => task.tick(),
@@ -84,7 +84,7 @@
 }
 
 impl NodeTask {
-    fn take(&mut self, input: NodeInput) {
+    fn handle_input(&mut self, input: NodeInput) {
         match input {
             NodeInput::Event(event) => self.reduce(event),
             NodeInput::Arrival {
@@ -103,45 +103,45 @@
                 // The asker may have gone.
                 let _ = sender.send(self.status());
             }
-            NodeInput::Withdrawal { key, answer } => self.ask_withdrawal(key, answer),
+            NodeInput::Withdrawal { key, answer } => self.request_withdrawal(key, answer),
         }
     }
 
     fn tick(&mut self) {
-        let seed = self.edges.random.random();
+        let seed = self.io.random.random();
         self.reduce(NodeEvent::Tick { seed });
         let is_ready = self.state.is_ready();
-        self.edges
+        self.io
             .ready
             .send_if_modified(|ready| std::mem::replace(ready, is_ready) != is_ready);
     }
 
     pub(super) fn reduce(&mut self, event: NodeEvent) {
-        let now = self.edges.clock.now();
+        let now = self.io.clock.now();
         for effect in reduce(&mut self.state, event, now) {
-            self.carry_out(effect);
+            self.handle_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: NodeEffect) {
+    fn handle_effect(&mut self, effect: NodeEffect) {
         match effect {
             NodeEffect::Dispatch(order) => self.dispatch(order),
             NodeEffect::Cancel { ticket, endpoint } => self.cancel(ticket, endpoint),
             NodeEffect::Finish { ticket, end } => self.finish(ticket, end),
-            NodeEffect::Send { to, message } => self.edges.peers.send(to, *message),
+            NodeEffect::Send { to, message } => self.io.peers.send(to, *message),
             NodeEffect::SendAddress { address, message } => {
-                self.edges.peers.send_address(address, *message);
+                self.io.peers.send_address(address, *message);
             }
-            NodeEffect::Roster(effect) => self.carry_roster(effect),
-            NodeEffect::Configuration(effect) => self.carry_configuration(effect),
-            NodeEffect::Claim(effect) => self.edges.platform.claim(effect),
-            NodeEffect::Crash(effect) => self.carry_crash(effect),
-            NodeEffect::Plan(effect) => self.carry_plan(effect),
-            NodeEffect::Released => self.edges.released.cancel(),
+            NodeEffect::Roster(effect) => self.handle_roster_effect(effect),
+            NodeEffect::Configuration(effect) => self.handle_configuration_effect(effect),
+            NodeEffect::Claim(effect) => self.io.platform.claim(effect),
+            NodeEffect::Crash(effect) => self.handle_crash_effect(effect),
+            NodeEffect::Plan(effect) => self.handle_plan_effect(effect),
+            NodeEffect::Released => self.io.released.cancel(),
         }
     }
 
-    fn ask_withdrawal(&mut self, key: KeyDigest, answer: oneshot::Sender<WithdrawalAnswer>) {
+    fn request_withdrawal(&mut self, key: KeyDigest, answer: oneshot::Sender<WithdrawalAnswer>) {
         self.next_withdrawal += 1;
         let request = self.next_withdrawal;
         self.withdrawals.insert(request, answer);
--- a/crates/clementinepond_daemon/src/peer/listener.rs
+++ b/crates/clementinepond_daemon/src/peer/listener.rs
@@ -89,8 +89,8 @@
     Aio::new(move |aio, result| {
         match result {
             AioResult::Recv(Ok(frame)) => {
-                metrics.note_peer_received(frame.len());
-                take(&own, &key, &node, &frame);
+                metrics.record_peer_received(frame.len());
+                deliver(&own, &key, &node, &frame);
             }
             AioResult::Recv(Err(nng::Error::Closed)) => return,
             _ => {}
@@ -101,7 +101,7 @@
     })
 }
 
-fn take(own: &VmId, key: &FrameKey, node: &NodeHandle, frame: &[u8]) {
+fn deliver(own: &VmId, key: &FrameKey, node: &NodeHandle, frame: &[u8]) {
     match key.open(frame) {
         Ok(envelope) if envelope.to.as_ref().is_none_or(|to| to == own) => {
             node.send_event(NodeEvent::Received {
--- a/crates/clementinepond_daemon/src/peer/mod.rs
+++ b/crates/clementinepond_daemon/src/peer/mod.rs
@@ -4,9 +4,9 @@
 //! VM that it talks to. A message that cannot be sent at once is dropped; the
 //! protocols above repeat what matters.
 
-mod edge;
 mod envelope;
 mod listener;
+mod sender;
 
-pub(crate) use edge::PeerEdge;
 pub(crate) use listener::{PeerListener, open_peer_listener};
+pub(crate) use sender::PeerSender;
--- a/crates/clementinepond_daemon/src/peer/edge.rs
+++ b/crates/clementinepond_daemon/src/peer/sender.rs
@@ -19,7 +19,7 @@
 }
 
 /// Sockets to the VMs that this VM talks to.
-pub(crate) struct PeerEdge {
+pub(crate) struct PeerSender {
     own: VmId,
     key: FrameKey,
     metrics: Arc<MetricSet>,
@@ -27,7 +27,7 @@
     by_address: HashMap<Box<str>, Socket>,
 }
 
-impl PeerEdge {
+impl PeerSender {
     pub(crate) fn new(own: VmId, secret: &str, metrics: Arc<MetricSet>) -> Self {
         Self {
             own,
@@ -39,7 +39,7 @@
     }
 
     /// Remembers the address of a VM and connects to it.
-    pub(crate) fn learn(&mut self, vm: VmId, address: Box<str>) {
+    pub(crate) fn connect(&mut self, vm: VmId, address: Box<str>) {
         let is_known = self
             .by_vm
             .get(&vm)
@@ -47,7 +47,7 @@
         if is_known || vm == self.own {
             return;
         }
-        match open(&address) {
+        match open_socket(&address) {
             Ok(socket) => {
                 log::info!("event=peer_learned peer={vm} address={address}");
                 self.by_vm.insert(vm, PeerSocket { address, socket });
@@ -69,7 +69,7 @@
     /// Sends to an address from the settings.
     pub(crate) fn send_address(&mut self, address: Box<str>, message: PeerMessage) {
         if !self.by_address.contains_key(&address) {
-            match open(&address) {
+            match open_socket(&address) {
                 Ok(socket) => {
                     self.by_address.insert(address.clone(), socket);
                 }
@@ -91,9 +91,9 @@
         };
         match self.key.seal(&envelope) {
             Ok(frame) => {
-                self.metrics.note_peer_sent(frame.len());
+                self.metrics.record_peer_sent(frame.len());
                 if socket.try_send(frame.as_slice()).is_err() {
-                    self.metrics.note_peer_dropped();
+                    self.metrics.record_peer_dropped();
                 }
             }
             Err(error) => log::error!("event=message_dropped error=\"{error}\""),
@@ -101,7 +101,7 @@
     }
 }
 
-fn open(address: &str) -> Result<Socket, nng::Error> {
+fn open_socket(address: &str) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Push0)?;
     socket.set_opt::<SendBufferSize>(SEND_BUFFER)?;
     socket.dial_async(&format!("tcp://{address}"))?;
--- a/crates/clementinepond_daemon/src/platform/client.rs
+++ b/crates/clementinepond_daemon/src/platform/client.rs
@@ -148,7 +148,7 @@
         path: &str,
         body: Bytes,
     ) -> Result<Request<Full<Bytes>>, PlatformError> {
-        self.metrics.note_platform_call(call_name(&method, path));
+        self.metrics.record_platform_call(call_name(&method, path));
         Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.settings.address))
--- a/crates/clementinepond_daemon/src/platform/work.rs
+++ b/crates/clementinepond_daemon/src/platform/work.rs
@@ -58,7 +58,7 @@
     /// Makes an update unless its deadline has passed.
     ///
     /// A dropped update is answered as unknown, so that the reducer reads again.
-    async fn store_by<T: Serialize + DeserializeOwned>(
+    async fn store_before<T: Serialize + DeserializeOwned>(
         &self,
         kind: &str,
         name: &str,
@@ -88,7 +88,7 @@
                 let name = table.data_centre.clone();
                 let nonce = table.nonce;
                 let reply = worker
-                    .store_by(ROSTER_KIND, name.as_str(), if_version, &table, deadline)
+                    .store_before(ROSTER_KIND, name.as_str(), if_version, &table, deadline)
                     .await;
                 NodeEvent::Roster(RosterEvent::TableStored { nonce, reply })
             }),
@@ -110,7 +110,7 @@
                 deadline,
             } => self.spawn(async move {
                 let reply = worker
-                    .store_by(SHARE_KIND, FLEET_NAME, if_version, &table, deadline)
+                    .store_before(SHARE_KIND, FLEET_NAME, if_version, &table, deadline)
                     .await;
                 NodeEvent::Roster(RosterEvent::SharesStored(reply))
             }),
@@ -163,7 +163,7 @@
                 deadline,
             } => self.spawn(async move {
                 let reply = worker
-                    .store_by(WITHDRAWAL_KIND, FLEET_NAME, if_version, &record, deadline)
+                    .store_before(WITHDRAWAL_KIND, FLEET_NAME, if_version, &record, deadline)
                     .await;
                 let event = ConfigurationEvent::RecordStored(reply);
                 NodeEvent::Configuration(event)
--- a/crates/clementinepond_daemon/src/telemetry/metric_set.rs
+++ b/crates/clementinepond_daemon/src/telemetry/metric_set.rs
@@ -55,36 +55,36 @@
         })
     }
 
-    pub(crate) fn note_end(&self, outcome: &'static str, seconds: f64) {
+    pub(crate) fn record_end(&self, outcome: &'static str, seconds: f64) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.duration.record(seconds, &[]);
     }
 
-    pub(crate) fn note_refusal(&self, code: &'static str) {
+    pub(crate) fn record_refusal(&self, code: &'static str) {
         self.refusals.add(1, &[KeyValue::new("code", code)]);
     }
 
-    pub(crate) fn note_first_token(&self, seconds: f64) {
+    pub(crate) fn record_first_token(&self, seconds: f64) {
         self.first_token.record(seconds, &[]);
     }
 
-    pub(crate) fn note_configuration(&self, version: u64) {
+    pub(crate) fn record_configuration(&self, version: u64) {
         self.configuration_version.record(version, &[]);
     }
 
-    pub(crate) fn note_peer_sent(&self, bytes: usize) {
+    pub(crate) fn record_peer_sent(&self, bytes: usize) {
         self.peer_sent.add(bytes as u64, &[]);
     }
 
-    pub(crate) fn note_peer_received(&self, bytes: usize) {
+    pub(crate) fn record_peer_received(&self, bytes: usize) {
         self.peer_received.add(bytes as u64, &[]);
     }
 
-    pub(crate) fn note_peer_dropped(&self) {
+    pub(crate) fn record_peer_dropped(&self) {
         self.peer_dropped.add(1, &[]);
     }
 
-    pub(crate) fn note_platform_call(&self, call: &'static str) {
+    pub(crate) fn record_platform_call(&self, call: &'static str) {
         self.platform_calls.add(1, &[KeyValue::new("call", call)]);
     }
 
--- a/crates/clementinepond_daemon/src/telemetry/request_trace.rs
+++ b/crates/clementinepond_daemon/src/telemetry/request_trace.rs
@@ -79,13 +79,13 @@
         self.recorder.clone()
     }
 
-    pub(crate) fn note_first_token(&self) {
+    pub(crate) fn record_first_token(&self) {
         self.recorder
             .context
             .span()
             .add_event("first_token", Vec::new());
         self.metrics
-            .note_first_token(self.start.elapsed().as_secs_f64());
+            .record_first_token(self.start.elapsed().as_secs_f64());
     }
 
     /// Ends the root span and counts the outcome once.
@@ -98,7 +98,7 @@
         span.set_attribute(KeyValue::new("outcome", outcome));
         span.end();
         let elapsed = self.start.elapsed();
-        self.metrics.note_end(outcome, elapsed.as_secs_f64());
+        self.metrics.record_end(outcome, elapsed.as_secs_f64());
         log::info!(
             "event=request_ended request={} outcome={outcome} reason={} duration_us={}",
             self.request_id,
--- a/crates/clementinepond_decide/src/crash/event.rs
+++ b/crates/clementinepond_decide/src/crash/event.rs
@@ -54,7 +54,7 @@
         /// Incarnation in the report.
         incarnation: EndpointIncarnation,
         /// Time at which the report was requested.
-        asked_at: LocalTime,
+        requested_at: LocalTime,
     },
     /// An endpoint has sent no report for longer than the node's time limit.
     EndpointUnreachable {
--- a/crates/clementinepond_decide/src/crash/guard.rs
+++ b/crates/clementinepond_decide/src/crash/guard.rs
@@ -134,13 +134,13 @@
     state: &mut CrashState,
     endpoint: &EndpointId,
     incarnation: EndpointIncarnation,
-    asked_at: LocalTime,
+    requested_at: LocalTime,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
     let mut effects = Vec::new();
     let statuses = state
         .losses
-        .statuses_by_report(endpoint, incarnation, asked_at);
+        .statuses_by_report(endpoint, incarnation, requested_at);
     for (loss, status) in statuses {
         effects.extend(merge_loss(state, &loss, status, now));
     }
--- a/crates/clementinepond_decide/src/crash/loss.rs
+++ b/crates/clementinepond_decide/src/crash/loss.rs
@@ -137,14 +137,14 @@
         &self,
         endpoint: &EndpointId,
         incarnation: EndpointIncarnation,
-        asked_at: LocalTime,
+        requested_at: LocalTime,
     ) -> Vec<(EndpointLoss, LossStatus)> {
         self.at_endpoint(endpoint)
             .filter_map(|(loss, entry)| {
                 if loss.incarnation != incarnation {
                     return Some((loss.clone(), LossStatus::Restarted));
                 }
-                (asked_at > entry.broken_at).then(|| (loss.clone(), LossStatus::Alive))
+                (requested_at > entry.broken_at).then(|| (loss.clone(), LossStatus::Alive))
             })
             .collect()
     }
--- a/crates/clementinepond_decide/src/crash/reduce.rs
+++ b/crates/clementinepond_decide/src/crash/reduce.rs
@@ -50,8 +50,8 @@
         CrashEvent::EndpointReported {
             endpoint,
             incarnation,
-            asked_at,
-        } => guard::endpoint_reported(state, &endpoint, incarnation, asked_at, now),
+            requested_at,
+        } => guard::endpoint_reported(state, &endpoint, incarnation, requested_at, now),
         CrashEvent::EndpointUnreachable { endpoint } => {
             guard::endpoint_unreachable(state, &endpoint, now)
         }
--- a/crates/clementinepond_decide/src/limit/reduce.rs
+++ b/crates/clementinepond_decide/src/limit/reduce.rs
@@ -65,7 +65,7 @@
         part_loan::take_loan(state, from, loan, now, outbox);
     }
     for report in message.reports {
-        token_loan_exchange::take_report(state, from, report, now, outbox);
+        token_loan_exchange::apply_report(state, from, report, now, outbox);
     }
     for grant in message.grants {
         token_loan_exchange::take_grant(state, from, &grant, now, outbox);
--- a/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
+++ b/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 /// Handles a borrower's report: credits returns and queues its requests.
-pub(super) fn take_report(
+pub(super) fn apply_report(
     state: &mut LimitState,
     from: &VmId,
     report: TokenLoanReport,
--- a/crates/clementinepond_decide/src/node/claim_part.rs
+++ b/crates/clementinepond_decide/src/node/claim.rs
@@ -1,32 +1,32 @@
 //! Claims of keyed requests.
 
 use super::NodeEffect;
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use crate::claim::{self, ClaimEffect, ClaimEvent, ClaimRefusal, ClaimTicket, UnknownReason};
 use crate::request::{EndReason, RequestEnd, RequestEvent};
 use clementinepond_types::{RequestTicket, TimeSpan};
 
 /// Time after which a caller may ask again for a claim.
-const CLAIM_RETRY: TimeSpan = TimeSpan::from_secs(1);
+const CLAIM_RETRY_AFTER: TimeSpan = TimeSpan::from_secs(1);
 
-impl NodeRun<'_> {
-    pub(super) fn take_claim(&mut self, event: ClaimEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_claim(&mut self, event: ClaimEvent) {
         let effects = claim::reduce(&mut self.state.claim, event, self.now);
         for effect in effects {
-            self.carry_claim(effect);
+            self.handle_claim_effect(effect);
         }
     }
 
-    fn carry_claim(&mut self, effect: ClaimEffect) {
+    fn handle_claim_effect(&mut self, effect: ClaimEffect) {
         match effect {
             ClaimEffect::Granted { ticket, deadline } => {
-                self.follow_request(RequestEvent::ClaimGranted {
+                self.enqueue_request(RequestEvent::ClaimGranted {
                     ticket: request_ticket(ticket),
                     deadline,
                 });
             }
-            ClaimEffect::Refused { ticket, reason } => self.stop(ticket, refusal(reason)),
-            ClaimEffect::Replay { ticket, answer } => self.stop(
+            ClaimEffect::Refused { ticket, reason } => self.stop_request(ticket, refusal(reason)),
+            ClaimEffect::Replay { ticket, answer } => self.stop_request(
                 ticket,
                 answer.map_or(
                     RequestEnd::Unknown {
@@ -37,7 +37,7 @@
                     },
                 ),
             ),
-            ClaimEffect::Unknown { ticket, reason } => self.stop(
+            ClaimEffect::Unknown { ticket, reason } => self.stop_request(
                 ticket,
                 RequestEnd::Unknown {
                     reason: match reason {
@@ -51,8 +51,8 @@
         }
     }
 
-    fn stop(&mut self, ticket: ClaimTicket, end: RequestEnd) {
-        self.follow_request(RequestEvent::Stopped {
+    fn stop_request(&mut self, ticket: ClaimTicket, end: RequestEnd) {
+        self.enqueue_request(RequestEvent::Stopped {
             ticket: request_ticket(ticket),
             end,
         });
@@ -71,7 +71,7 @@
         | ClaimRefusal::Quarantined
         | ClaimRefusal::OwnerUnreachable
         | ClaimRefusal::DeadlinePassed
-        | ClaimRefusal::Abandoned => (EndReason::ClaimUnavailable, Some(CLAIM_RETRY)),
+        | ClaimRefusal::Abandoned => (EndReason::ClaimUnavailable, Some(CLAIM_RETRY_AFTER)),
     };
     RequestEnd::NotRun {
         reason,
--- a/crates/clementinepond_decide/src/node/configuration_part.rs
+++ b/crates/clementinepond_decide/src/node/configuration.rs
@@ -1,18 +1,18 @@
 //! The configuration.
 
 use super::NodeEffect;
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use crate::configuration::{self, ConfigurationEffect, ConfigurationEvent};
 use crate::roster::RosterEvent;
 
-impl NodeRun<'_> {
-    pub(super) fn take_configuration(&mut self, event: ConfigurationEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_configuration(&mut self, event: ConfigurationEvent) {
         let effects = configuration::reduce(&mut self.state.configuration, event, self.now);
         for effect in effects {
             match effect {
                 ConfigurationEffect::Send { to, message } => self.send(to, message),
                 ConfigurationEffect::DigestChanged(digest) => {
-                    self.take_roster(RosterEvent::DigestChanged(digest));
+                    self.reduce_roster(RosterEvent::DigestChanged(digest));
                 }
                 other => self.effects.push(NodeEffect::Configuration(other)),
             }
--- a/crates/clementinepond_decide/src/node/crash_part.rs
+++ b/crates/clementinepond_decide/src/node/crash.rs
@@ -1,25 +1,25 @@
 //! The crash guard.
 
 use super::NodeEffect;
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use crate::crash::{self, CrashEffect, CrashEvent, CrashRefusal};
 use crate::request::EndReason;
 use clementinepond_types::{EndpointId, TimeSpan};
 
 /// Time without a report after which an endpoint counts as lost.
-const LOST_TIMEOUT: TimeSpan = TimeSpan::from_secs(3);
+const ENDPOINT_REPORT_TIMEOUT: TimeSpan = TimeSpan::from_secs(3);
 
-impl NodeRun<'_> {
-    pub(super) fn take_crash(&mut self, event: CrashEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_crash(&mut self, event: CrashEvent) {
         let effects = crash::reduce(&mut self.state.crash, event, self.now);
         for effect in effects {
-            self.carry_crash(effect);
+            self.handle_crash_effect(effect);
         }
     }
 
-    fn carry_crash(&mut self, effect: CrashEffect) {
+    fn handle_crash_effect(&mut self, effect: CrashEffect) {
         match effect {
-            CrashEffect::Pass { ticket, avoid } => self.dispatch_anywhere(ticket, avoid),
+            CrashEffect::Pass { ticket, avoid } => self.dispatch_avoiding(ticket, avoid),
             CrashEffect::RunAlone { ticket, endpoint } => self.dispatch(ticket, Some(endpoint)),
             CrashEffect::Wait { .. } => {}
             CrashEffect::Refused {
@@ -39,20 +39,20 @@
     }
 
     /// Reports endpoints that fell silent.
-    pub(super) fn note_lost_endpoints(&mut self) {
+    pub(super) fn report_unreachable_endpoints(&mut self) {
         let silent: Vec<EndpointId> = self
             .state
             .routes
             .endpoints
             .iter()
-            .filter(|(id, _)| !self.state.lost.contains(*id))
+            .filter(|(id, _)| !self.state.unreachable.contains(*id))
             .filter(|(_, state)| state.report.is_some())
-            .filter(|(_, state)| self.now.since(state.reported_at) > LOST_TIMEOUT)
+            .filter(|(_, state)| self.now.since(state.reported_at) > ENDPOINT_REPORT_TIMEOUT)
             .map(|(id, _)| id.clone())
             .collect();
         for endpoint in silent {
-            self.state.lost.insert(endpoint.clone());
-            self.take_crash(CrashEvent::EndpointUnreachable { endpoint });
+            self.state.unreachable.insert(endpoint.clone());
+            self.reduce_crash(CrashEvent::EndpointUnreachable { endpoint });
         }
     }
 }
--- a/crates/clementinepond_decide/src/node/demand.rs
+++ b/crates/clementinepond_decide/src/node/demand.rs
@@ -34,7 +34,7 @@
 
 /// A report and the moment until which it counts.
 #[derive(Debug, Clone)]
-struct HeldReport {
+struct ReceivedReport {
     loads: BTreeMap<ModelId, ComputeLoad>,
     deadline: LocalTime,
 }
@@ -45,7 +45,7 @@
     capacities: BTreeMap<ModelId, u64>,
     tokens: BTreeMap<ModelId, u64>,
     window_start: LocalTime,
-    reports: BTreeMap<VmId, HeldReport>,
+    reports: BTreeMap<VmId, ReceivedReport>,
     observed: BTreeMap<ModelId, ComputeLoad>,
 }
 
@@ -62,9 +62,9 @@
     }
 
     /// Takes the report of another VM.
-    pub fn take(&mut self, from: VmId, report: DemandReport, now: LocalTime) {
+    pub fn record_report(&mut self, from: VmId, report: DemandReport, now: LocalTime) {
         let loads = report.loads.into_iter();
-        let held = HeldReport {
+        let held = ReceivedReport {
             loads: loads.map(|load| (load.model, load.load)).collect(),
             deadline: now + REPORT_TIMEOUT,
         };
--- a/crates/clementinepond_decide/src/node/event.rs
+++ b/crates/clementinepond_decide/src/node/event.rs
@@ -45,7 +45,7 @@
     /// Requests that wait.
     pub queued: u32,
     /// Moment at which the report was asked for.
-    pub asked_at: LocalTime,
+    pub requested_at: LocalTime,
 }
 
 /// What can happen to a VM.
--- a/crates/clementinepond_decide/src/node/limit_part.rs
+++ b/crates/clementinepond_decide/src/node/limit.rs
@@ -1,7 +1,7 @@
 //! Limits and the roster's parts that they rest on.
 
 use super::NodeEvent;
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use super::state::PartsStop;
 use crate::limit::{
     self, LimitEffect, LimitEvent, RefusalReason, RemoteDataCentre, RosterView, TicketId,
@@ -10,19 +10,19 @@
 use crate::roster::{RosterEvent, UsableParts};
 use clementinepond_types::{LocalTime, PartCount, RequestTicket, TimeSpan};
 
-impl NodeRun<'_> {
-    pub(super) fn take_limit(&mut self, event: LimitEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_limit(&mut self, event: LimitEvent) {
         let effects = limit::reduce(&mut self.state.limit, event, self.now);
         for effect in effects {
-            self.carry_limit(effect);
+            self.handle_limit_effect(effect);
         }
     }
 
-    fn carry_limit(&mut self, effect: LimitEffect) {
+    fn handle_limit_effect(&mut self, effect: LimitEffect) {
         match effect {
             LimitEffect::Admitted { ticket, deadline } => {
                 let deadline = deadline.min(self.parts_deadline());
-                self.follow_request(RequestEvent::Admitted {
+                self.enqueue_request(RequestEvent::Admitted {
                     ticket: request_ticket(ticket),
                     deadline,
                 });
@@ -31,21 +31,21 @@
                 ticket,
                 reason,
                 retry_after,
-            } => self.follow_request(RequestEvent::Stopped {
+            } => self.enqueue_request(RequestEvent::Stopped {
                 ticket: request_ticket(ticket),
                 end: refusal(reason, retry_after),
             }),
             LimitEffect::Send { to, message } => self.send(to, message),
             LimitEffect::Released => {
-                self.state.is_released = true;
-                self.stop_parts();
+                self.state.is_limit_released = true;
+                self.confirm_stopped_parts();
             }
         }
     }
 
     fn parts_deadline(&self) -> LocalTime {
         self.state
-            .usable
+            .usable_parts
             .as_ref()
             .map_or(self.now, |usable| usable.deadline)
     }
@@ -54,63 +54,63 @@
     pub(super) fn use_parts(&mut self, usable: UsableParts) {
         let is_new = self
             .state
-            .usable
+            .usable_parts
             .as_ref()
             .is_none_or(|held| held.change != usable.change);
         if is_new {
-            self.state.stop = Some(PartsStop {
+            self.state.parts_stop = Some(PartsStop {
                 change: usable.change,
-                deadline: self.now + self.state.longest_grant(),
+                deadline: self.now + self.state.longest_grant_lifetime(),
             });
         }
-        self.state.usable = Some(usable);
-        self.renew_view();
+        self.state.usable_parts = Some(usable);
+        self.update_limit_view();
     }
 
     /// Stops the use of parts whose deadline has passed.
     pub(super) fn expire_parts(&mut self) {
         let is_expired = self
             .state
-            .usable
+            .usable_parts
             .as_ref()
             .is_some_and(|usable| usable.deadline <= self.now);
         let is_used = self
             .state
-            .view
+            .limit_view
             .as_ref()
             .is_some_and(|view| view.parts > PartCount::new(0));
         if is_expired && is_used {
-            self.renew_view();
+            self.update_limit_view();
         }
     }
 
     /// Tells the roster once no grant on stopped parts is left.
-    pub(super) fn stop_parts(&mut self) {
-        let Some(stop) = self.state.stop else {
+    pub(super) fn confirm_stopped_parts(&mut self) {
+        let Some(stop) = self.state.parts_stop else {
             return;
         };
-        if self.now >= stop.deadline || self.state.is_released {
-            self.state.stop = None;
+        if self.now >= stop.deadline || self.state.is_limit_released {
+            self.state.parts_stop = None;
             let change = stop.change;
-            self.follow(NodeEvent::Roster(RosterEvent::PartsStopped { change }));
+            self.enqueue(NodeEvent::Roster(RosterEvent::PartsStopped { change }));
         }
     }
 
     /// Tells the limits about parts and members when they changed.
-    pub(super) fn renew_view(&mut self) {
+    pub(super) fn update_limit_view(&mut self) {
         let Some(view) = self.roster_view() else {
             return;
         };
-        if self.state.view.as_ref() == Some(&view) {
+        if self.state.limit_view.as_ref() == Some(&view) {
             return;
         }
-        self.state.view = Some(view.clone());
-        self.take_limit(LimitEvent::PartsChanged(view));
+        self.state.limit_view = Some(view.clone());
+        self.reduce_limit(LimitEvent::PartsChanged(view));
     }
 
     fn roster_view(&self) -> Option<RosterView> {
         let table = self.state.roster.own_table()?;
-        let usable = self.state.usable.as_ref()?;
+        let usable = self.state.usable_parts.as_ref()?;
         let is_usable = usable.deadline > self.now;
         let own = &self.state.data_centre;
         let remote = self.state.roster.tables().iter();
--- a/crates/clementinepond_decide/src/node/mod.rs
+++ b/crates/clementinepond_decide/src/node/mod.rs
@@ -4,19 +4,19 @@
 //! what one part asks of another is carried over at once, and what is left
 //! are effects for the edges.
 
-mod claim_part;
-mod configuration_part;
-mod crash_part;
+mod claim;
+mod configuration;
+mod crash;
 mod demand;
 mod effect;
 mod event;
-mod limit_part;
+mod limit;
 mod message;
-mod plan_part;
+mod node_reducer;
+mod plan;
 mod reduce;
-mod request_part;
-mod roster_part;
-mod run;
+mod request;
+mod roster;
 mod settings;
 mod state;
 
--- a/crates/clementinepond_decide/src/node/run.rs
+++ b/crates/clementinepond_decide/src/node/node_reducer.rs
@@ -6,21 +6,21 @@
 use std::collections::VecDeque;
 
 /// One event and all that follows from it at once.
-pub(super) struct NodeRun<'a> {
+pub(super) struct NodeReducer<'a> {
     pub(super) state: &'a mut NodeState,
     pub(super) now: LocalTime,
     pub(super) pending: VecDeque<NodeEvent>,
     pub(super) effects: Vec<NodeEffect>,
 }
 
-impl NodeRun<'_> {
-    /// Lets an event follow the one that is being taken.
-    pub(super) fn follow(&mut self, event: NodeEvent) {
+impl NodeReducer<'_> {
+    /// Lets an event enqueue the one that is being taken.
+    pub(super) fn enqueue(&mut self, event: NodeEvent) {
         self.pending.push_back(event);
     }
 
-    pub(super) fn follow_request(&mut self, event: RequestEvent) {
-        self.follow(NodeEvent::Request(event));
+    pub(super) fn enqueue_request(&mut self, event: RequestEvent) {
+        self.enqueue(NodeEvent::Request(event));
     }
 
     /// Sends a message; one to this VM itself needs no network.
@@ -28,7 +28,7 @@
         let message = Box::new(message.into());
         if to == self.state.vm {
             let from = to;
-            self.follow(NodeEvent::Received { from, message });
+            self.enqueue(NodeEvent::Received { from, message });
         } else {
             self.effects.push(NodeEffect::Send { to, message });
         }
--- a/crates/clementinepond_decide/src/node/plan_part.rs
+++ b/crates/clementinepond_decide/src/node/plan.rs
@@ -1,30 +1,35 @@
 //! Placement and the demand that it follows.
 
 use super::NodeEffect;
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use crate::plan::{self, EndpointSpec, PlanEvent};
 use crate::route::ReplicaState;
 use clementinepond_types::{DataCentreId, EndpointId, ModelId, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-impl NodeRun<'_> {
-    pub(super) fn take_plan(&mut self, event: PlanEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_plan(&mut self, event: PlanEvent) {
         let effects = plan::reduce(&mut self.state.plan, event, self.now);
         let effects = effects.into_iter().map(NodeEffect::Plan);
         self.effects.extend(effects);
     }
 
     /// Tells placement which engines of the data centre are configured.
-    pub(super) fn list_engines(&mut self, engines: BTreeMap<EndpointId, EndpointSpec>) {
+    pub(super) fn update_engines(&mut self, engines: BTreeMap<EndpointId, EndpointSpec>) {
         let listed: BTreeSet<EndpointId> = engines.keys().cloned().collect();
-        let gone: Vec<EndpointId> = self.state.listed.difference(&listed).cloned().collect();
+        let gone: Vec<EndpointId> = self
+            .state
+            .listed_engines
+            .difference(&listed)
+            .cloned()
+            .collect();
         for endpoint in gone {
-            self.take_plan(PlanEvent::EndpointGone { endpoint });
+            self.reduce_plan(PlanEvent::EndpointGone { endpoint });
         }
         for (endpoint, spec) in engines {
-            self.take_plan(PlanEvent::EndpointListed { endpoint, spec });
+            self.reduce_plan(PlanEvent::EndpointListed { endpoint, spec });
         }
-        self.state.listed = listed;
+        self.state.listed_engines = listed;
     }
 
     /// Sends the demand counted here to the holder of the plan, and lets the
@@ -33,25 +38,25 @@
         let Some(report) = self.state.demand.close_window(self.now) else {
             return;
         };
-        if let Some(holder) = self.plan_holder() {
+        if let Some(holder) = self.lease_holder() {
             self.send(holder, report);
         }
-        self.observe_peers();
+        self.report_remote_models();
         if !self.state.plan.holds(self.now) {
             return;
         }
         let totals = self.state.demand.totals(self.now);
         for (model, load) in totals {
-            self.take_plan(PlanEvent::DemandObserved { model, load });
+            self.reduce_plan(PlanEvent::DemandObserved { model, load });
         }
     }
 
-    fn plan_holder(&self) -> Option<VmId> {
+    fn lease_holder(&self) -> Option<VmId> {
         self.state.plan.holder().cloned()
     }
 
     /// Tells placement which models other data centres have ready.
-    fn observe_peers(&mut self) {
+    fn report_remote_models(&mut self) {
         let mut ready: BTreeMap<DataCentreId, BTreeSet<ModelId>> = BTreeMap::new();
         let own = &self.state.data_centre;
         for state in self.state.routes.endpoints.values() {
@@ -63,6 +68,6 @@
             let replicas = replicas.filter(|(_, replica)| replica.state == ReplicaState::Ready);
             models.extend(replicas.map(|(model, _)| model.clone()));
         }
-        self.take_plan(PlanEvent::PeersObserved { ready });
+        self.reduce_plan(PlanEvent::PeersObserved { ready });
     }
 }
--- a/crates/clementinepond_decide/src/node/reduce.rs
+++ b/crates/clementinepond_decide/src/node/reduce.rs
@@ -1,6 +1,6 @@
 //! The function from an event to effects.
 
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use super::{EndpointObservation, FleetView, NodeEffect, NodeEvent, NodeState, PeerMessage};
 use crate::claim::ClaimEvent;
 use crate::configuration::ConfigurationEvent;
@@ -18,41 +18,41 @@
 
 /// Takes one event and returns what the edges must do.
 pub fn reduce(state: &mut NodeState, event: NodeEvent, now: LocalTime) -> Vec<NodeEffect> {
-    let mut run = NodeRun {
+    let mut reducer = NodeReducer {
         state,
         now,
         pending: VecDeque::new(),
         effects: Vec::new(),
     };
-    run.expire_parts();
-    run.pending.push_back(event);
-    while let Some(event) = run.pending.pop_front() {
-        run.take(event);
+    reducer.expire_parts();
+    reducer.pending.push_back(event);
+    while let Some(event) = reducer.pending.pop_front() {
+        reducer.handle_event(event);
     }
-    run.effects
+    reducer.effects
 }
 
-impl NodeRun<'_> {
-    fn take(&mut self, event: NodeEvent) {
+impl NodeReducer<'_> {
+    fn handle_event(&mut self, event: NodeEvent) {
         match event {
-            NodeEvent::Request(event) => self.take_request(event),
+            NodeEvent::Request(event) => self.reduce_request(event),
             NodeEvent::Received { from, message } => self.receive(from, *message),
-            NodeEvent::Roster(event) => self.take_roster(event),
-            NodeEvent::Configuration(event) => self.take_configuration(event),
-            NodeEvent::Claim(event) => self.take_claim(event),
-            NodeEvent::Crash(event) => self.take_crash(event),
-            NodeEvent::Plan(event) => self.take_plan(event),
-            NodeEvent::FleetChanged(view) => self.change_fleet(*view),
+            NodeEvent::Roster(event) => self.reduce_roster(event),
+            NodeEvent::Configuration(event) => self.reduce_configuration(event),
+            NodeEvent::Claim(event) => self.reduce_claim(event),
+            NodeEvent::Crash(event) => self.reduce_crash(event),
+            NodeEvent::Plan(event) => self.reduce_plan(event),
+            NodeEvent::FleetChanged(view) => self.apply_fleet_view(*view),
             NodeEvent::EndpointReported {
                 endpoint,
                 observation,
-            } => self.take_report(&endpoint, *observation),
+            } => self.apply_report(&endpoint, *observation),
             NodeEvent::CacheChanged {
                 endpoint,
                 sequence,
                 prefix,
                 stored,
-            } => self.take_cache(&endpoint, sequence, prefix, stored),
+            } => self.apply_cache_event(&endpoint, sequence, prefix, stored),
             NodeEvent::Tick { seed } => self.tick(seed),
             NodeEvent::ShutdownStarted => self.shut_down(),
         }
@@ -61,51 +61,57 @@
     fn receive(&mut self, from: VmId, message: PeerMessage) {
         match message {
             PeerMessage::Roster(message) => {
-                self.take_roster(RosterEvent::Received { from, message });
+                self.reduce_roster(RosterEvent::Received { from, message });
             }
             PeerMessage::Configuration(message) => {
-                self.take_configuration(ConfigurationEvent::Received { from, message });
+                self.reduce_configuration(ConfigurationEvent::Received { from, message });
             }
-            PeerMessage::Limit(message) => self.take_limit(LimitEvent::Received { from, message }),
-            PeerMessage::Claim(message) => self.take_claim(ClaimEvent::Received { from, message }),
-            PeerMessage::Crash(message) => self.take_crash(CrashEvent::Received { from, message }),
-            PeerMessage::Demand(report) => self.state.demand.take(from, report, self.now),
+            PeerMessage::Limit(message) => {
+                self.reduce_limit(LimitEvent::Received { from, message })
+            }
+            PeerMessage::Claim(message) => {
+                self.reduce_claim(ClaimEvent::Received { from, message })
+            }
+            PeerMessage::Crash(message) => {
+                self.reduce_crash(CrashEvent::Received { from, message })
+            }
+            PeerMessage::Demand(report) => self.state.demand.record_report(from, report, self.now),
         }
     }
 
-    fn change_fleet(&mut self, view: FleetView) {
+    fn apply_fleet_view(&mut self, view: FleetView) {
         self.state.routes.configure(view.endpoints);
         self.state.demand.configure(view.capacities);
-        self.take_claim(ClaimEvent::DataCentresChanged(view.data_centres));
-        self.take_limit(LimitEvent::AccountsChanged(view.accounts));
+        self.reduce_claim(ClaimEvent::DataCentresChanged(view.data_centres));
+        self.reduce_limit(LimitEvent::AccountsChanged(view.accounts));
         self.state.expects_share = view.share > PartCount::new(0);
-        self.take_roster(RosterEvent::ShareTarget(view.share));
-        self.list_engines(view.engines);
-        self.take_plan(PlanEvent::CatalogueChanged {
+        self.reduce_roster(RosterEvent::ShareTarget(view.share));
+        self.update_engines(view.engines);
+        self.reduce_plan(PlanEvent::CatalogueChanged {
             catalogue: Box::new(view.catalogue),
         });
     }
 
-    fn take_report(&mut self, endpoint: &EndpointId, observation: EndpointObservation) {
+    fn apply_report(&mut self, endpoint: &EndpointId, observation: EndpointObservation) {
         let incarnation = observation.report.incarnation;
         let report = route_report(&observation);
-        if !self.state.routes.take_report(endpoint, report, self.now) {
+        if !self.state.routes.apply_report(endpoint, report, self.now) {
             return;
         }
-        self.state.lost.remove(endpoint);
-        self.take_crash(CrashEvent::EndpointReported {
+        self.state.unreachable.remove(endpoint);
+        self.reduce_crash(CrashEvent::EndpointReported {
             endpoint: endpoint.clone(),
             incarnation: EndpointIncarnation::new(incarnation.get()),
-            asked_at: observation.asked_at,
+            requested_at: observation.requested_at,
         });
-        if self.state.listed.contains(endpoint) {
-            self.take_plan(PlanEvent::ReportReceived {
+        if self.state.listed_engines.contains(endpoint) {
+            self.reduce_plan(PlanEvent::ReportReceived {
                 report: observation.report,
             });
         }
     }
 
-    fn take_cache(
+    fn apply_cache_event(
         &mut self,
         endpoint: &EndpointId,
         sequence: u64,
@@ -125,27 +131,27 @@
     }
 
     fn tick(&mut self, seed: u64) {
-        self.take_request(RequestEvent::Tick { seed });
-        self.take_limit(LimitEvent::Tick);
-        self.take_claim(ClaimEvent::Tick);
-        if self.now < self.state.slow_tick {
+        self.reduce_request(RequestEvent::Tick { seed });
+        self.reduce_limit(LimitEvent::Tick);
+        self.reduce_claim(ClaimEvent::Tick);
+        if self.now < self.state.next_slow_tick {
             return;
         }
-        self.state.slow_tick = self.now + SLOW_TICK_INTERVAL;
-        self.stop_parts();
-        self.take_roster(RosterEvent::Tick);
-        self.take_configuration(ConfigurationEvent::Tick);
-        self.note_lost_endpoints();
-        self.take_crash(CrashEvent::Tick);
+        self.state.next_slow_tick = self.now + SLOW_TICK_INTERVAL;
+        self.confirm_stopped_parts();
+        self.reduce_roster(RosterEvent::Tick);
+        self.reduce_configuration(ConfigurationEvent::Tick);
+        self.report_unreachable_endpoints();
+        self.reduce_crash(CrashEvent::Tick);
         self.report_demand();
-        self.take_plan(PlanEvent::Tick { seed });
+        self.reduce_plan(PlanEvent::Tick { seed });
     }
 
     fn shut_down(&mut self) {
-        self.take_limit(LimitEvent::Release);
-        self.take_claim(ClaimEvent::Release);
-        self.take_plan(PlanEvent::Release);
-        self.take_roster(RosterEvent::ShutdownStarted);
+        self.reduce_limit(LimitEvent::Release);
+        self.reduce_claim(ClaimEvent::Release);
+        self.reduce_plan(PlanEvent::Release);
+        self.reduce_roster(RosterEvent::ShutdownStarted);
     }
 }
 
--- a/crates/clementinepond_decide/src/node/request_part.rs
+++ b/crates/clementinepond_decide/src/node/request.rs
@@ -1,7 +1,7 @@
 //! Requests and the parts that they pass through.
 
 use super::NodeEffect;
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use super::state::PendingRun;
 use crate::claim::{ClaimEvent, ClaimTicket, RunOutcome};
 use crate::crash::{CrashEvent, CrashTicket, EndpointIncarnation};
@@ -18,20 +18,20 @@
 /// Account under which claims of routes that are open to all are kept.
 const OPEN_ACCOUNT: &str = "open";
 
-impl NodeRun<'_> {
-    pub(super) fn take_request(&mut self, event: RequestEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_request(&mut self, event: RequestEvent) {
         match &event {
             RequestEvent::AttemptEnded {
                 ticket,
                 attempt,
                 outcome,
-            } => self.note_attempt(*ticket, *attempt, outcome),
+            } => self.record_attempt_end(*ticket, *attempt, outcome),
             RequestEvent::Arrived { profile, .. } => self.count_demand(profile),
             _ => {}
         }
         let effects = request::reduce(&mut self.state.requests, event, self.now);
         for effect in effects {
-            self.carry_request(effect);
+            self.handle_request_effect(effect);
         }
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Tells routing and the crash guard that an attempt ended.
-    fn note_attempt(
+    fn record_attempt_end(
         &mut self,
         ticket: RequestTicket,
         attempt: AttemptNumber,
@@ -64,10 +64,10 @@
             AttemptOutcome::NotSent | AttemptOutcome::Broken { .. }
         );
         self.state.routes.record_ended(&endpoint, failed, self.now);
-        let Some(ticket) = self.state.run_of.remove(&ticket) else {
+        let Some(ticket) = self.state.crash_tickets.remove(&ticket) else {
             return;
         };
-        self.take_crash(match outcome {
+        self.reduce_crash(match outcome {
             AttemptOutcome::Complete { .. } | AttemptOutcome::Rejected => {
                 CrashEvent::Completed { ticket }
             }
@@ -78,21 +78,23 @@
         });
     }
 
-    fn carry_request(&mut self, effect: RequestEffect) {
+    fn handle_request_effect(&mut self, effect: RequestEffect) {
         match effect {
-            RequestEffect::RequestAdmission { ticket, profile } => self.ask_limit(ticket, &profile),
+            RequestEffect::RequestAdmission { ticket, profile } => {
+                self.request_admission(ticket, &profile)
+            }
             RequestEffect::RenewAdmission { ticket, profile } => {
                 self.settle(ticket, TokenCount::ZERO);
-                self.ask_limit(ticket, &profile);
+                self.request_admission(ticket, &profile);
             }
-            RequestEffect::RequestClaim { ticket, profile } => self.ask_claim(ticket, &profile),
+            RequestEffect::RequestClaim { ticket, profile } => self.request_claim(ticket, &profile),
             RequestEffect::Dispatch {
                 ticket,
                 attempt,
                 query,
                 resume_from,
                 deadline,
-            } => self.ask_guard(PendingRun {
+            } => self.request_run(PendingRun {
                 ticket,
                 attempt,
                 query,
@@ -101,7 +103,7 @@
             }),
             RequestEffect::Cancel { ticket, endpoint } => self.cancel(ticket, endpoint),
             RequestEffect::Progress { ticket, tokens } => {
-                self.take_limit(LimitEvent::Progress {
+                self.reduce_limit(LimitEvent::Progress {
                     ticket: TicketId::new(ticket.get()),
                     generated: TokenCount::new(tokens),
                 });
@@ -109,17 +111,17 @@
             RequestEffect::Settle { ticket, used } => self.settle(ticket, used),
             RequestEffect::CloseClaim { ticket, end } => self.close_claim(ticket, end),
             RequestEffect::Finish { ticket, end } => {
-                self.drop_run(ticket);
+                self.discard_run(ticket);
                 self.effects.push(NodeEffect::Finish { ticket, end });
             }
         }
     }
 
-    fn ask_limit(&mut self, ticket: RequestTicket, profile: &RequestProfile) {
+    fn request_admission(&mut self, ticket: RequestTicket, profile: &RequestProfile) {
         let Some(account) = profile.account.clone() else {
             return;
         };
-        self.take_limit(LimitEvent::Request(AdmissionRequest {
+        self.reduce_limit(LimitEvent::Request(AdmissionRequest {
             ticket: TicketId::new(ticket.get()),
             account,
             prompt: profile.prompt,
@@ -131,14 +133,14 @@
 
     fn settle(&mut self, ticket: RequestTicket, used: TokenCount) {
         let ticket = TicketId::new(ticket.get());
-        self.take_limit(if used == TokenCount::ZERO {
+        self.reduce_limit(if used == TokenCount::ZERO {
             LimitEvent::Cancel { ticket }
         } else {
             LimitEvent::Settle { ticket, used }
         });
     }
 
-    fn ask_claim(&mut self, ticket: RequestTicket, profile: &RequestProfile) {
+    fn request_claim(&mut self, ticket: RequestTicket, profile: &RequestProfile) {
         let account = profile
             .account
             .clone()
@@ -151,7 +153,7 @@
         else {
             return;
         };
-        self.take_claim(ClaimEvent::Requested {
+        self.reduce_claim(ClaimEvent::Requested {
             ticket: ClaimTicket::new(ticket.get()),
             account,
             route,
@@ -181,11 +183,11 @@
                 ClaimEvent::NotDispatched { ticket }
             }
         };
-        self.take_claim(event);
+        self.reduce_claim(event);
     }
 
     /// Asks the crash guard whether the run may take place.
-    fn ask_guard(&mut self, run: PendingRun) {
+    fn request_run(&mut self, run: PendingRun) {
         let Some(stage) = self.state.requests.get(run.ticket) else {
             return;
         };
@@ -197,10 +199,10 @@
         let deadline = run.deadline;
         self.state.next_run += 1;
         let ticket = CrashTicket::new(self.state.next_run);
-        self.drop_run(run.ticket);
-        self.state.run_of.insert(run.ticket, ticket);
-        self.state.runs.insert(ticket, run);
-        self.take_crash(CrashEvent::RunRequested {
+        self.discard_run(run.ticket);
+        self.state.crash_tickets.insert(run.ticket, ticket);
+        self.state.pending_runs.insert(ticket, run);
+        self.reduce_crash(CrashEvent::RunRequested {
             ticket,
             fingerprint,
             candidates,
@@ -210,23 +212,23 @@
 
     fn wait_for_endpoint(&mut self, ticket: RequestTicket) {
         let RouteError::NoReplica { retry_after } = RouteError::no_replica();
-        self.follow_request(RequestEvent::NoEndpoint {
+        self.enqueue_request(RequestEvent::NoEndpoint {
             ticket,
             retry_after,
         });
     }
 
     /// Dispatches a run, away from endpoints where suspects run alone if another serves it.
-    pub(super) fn dispatch_anywhere(&mut self, guard: CrashTicket, avoid: Vec<EndpointId>) {
-        if let Some(run) = self.state.runs.get_mut(&guard) {
+    pub(super) fn dispatch_avoiding(&mut self, crash_ticket: CrashTicket, avoid: Vec<EndpointId>) {
+        if let Some(run) = self.state.pending_runs.get_mut(&crash_ticket) {
             run.query.avoided.extend(avoid);
         }
-        self.dispatch(guard, None);
+        self.dispatch(crash_ticket, None);
     }
 
     /// Dispatches a run that the crash guard lets pass.
-    pub(super) fn dispatch(&mut self, guard: CrashTicket, only: Option<EndpointId>) {
-        let Some(run) = self.state.runs.remove(&guard) else {
+    pub(super) fn dispatch(&mut self, crash_ticket: CrashTicket, only: Option<EndpointId>) {
+        let Some(run) = self.state.pending_runs.remove(&crash_ticket) else {
             return;
         };
         let choice = match only {
@@ -234,18 +236,22 @@
             None => self.state.routes.choose(&run.query, self.now),
         };
         match choice {
-            Ok(endpoint) => self.send_run(guard, run, endpoint),
+            Ok(endpoint) => self.send_run(crash_ticket, run, endpoint),
             Err(_) => {
-                self.state.run_of.remove(&run.ticket);
-                self.take_crash(CrashEvent::Stopped { ticket: guard });
+                self.state.crash_tickets.remove(&run.ticket);
+                self.reduce_crash(CrashEvent::Stopped {
+                    ticket: crash_ticket,
+                });
                 self.wait_for_endpoint(run.ticket);
             }
         }
     }
 
-    fn send_run(&mut self, guard: CrashTicket, run: PendingRun, endpoint: EndpointId) {
+    fn send_run(&mut self, crash_ticket: CrashTicket, run: PendingRun, endpoint: EndpointId) {
         let Some(stage) = self.state.requests.get(run.ticket) else {
-            return self.take_crash(CrashEvent::Stopped { ticket: guard });
+            return self.reduce_crash(CrashEvent::Stopped {
+                ticket: crash_ticket,
+            });
         };
         let fingerprint = stage.profile().fingerprint;
         let is_claimed = stage.dispatched().is_some_and(|stage| stage.is_claimed);
@@ -254,17 +260,17 @@
             .requests
             .record_endpoint(run.ticket, endpoint.clone());
         let incarnation = self.incarnation(&endpoint);
-        self.take_crash(CrashEvent::Dispatched {
-            ticket: guard,
+        self.reduce_crash(CrashEvent::Dispatched {
+            ticket: crash_ticket,
             fingerprint,
             endpoint: endpoint.clone(),
             incarnation,
         });
-        self.take_limit(LimitEvent::Started {
+        self.reduce_limit(LimitEvent::Started {
             ticket: TicketId::new(run.ticket.get()),
         });
         if is_claimed {
-            self.take_claim(ClaimEvent::Dispatched {
+            self.reduce_claim(ClaimEvent::Dispatched {
                 ticket: ClaimTicket::new(run.ticket.get()),
             });
         }
@@ -286,14 +292,14 @@
     /// Ends a request that the crash guard refuses.
     pub(super) fn refuse_run(
         &mut self,
-        guard: CrashTicket,
+        crash_ticket: CrashTicket,
         reason: EndReason,
         retry_after: Option<clementinepond_types::TimeSpan>,
     ) {
-        let Some(run) = self.state.runs.remove(&guard) else {
+        let Some(run) = self.state.pending_runs.remove(&crash_ticket) else {
             return;
         };
-        self.state.run_of.remove(&run.ticket);
+        self.state.crash_tickets.remove(&run.ticket);
         let may_have_run = self
             .state
             .requests
@@ -307,7 +313,7 @@
                 retry_after,
             }
         };
-        self.follow_request(RequestEvent::Stopped {
+        self.enqueue_request(RequestEvent::Stopped {
             ticket: run.ticket,
             end,
         });
@@ -317,15 +323,17 @@
         if let Some(endpoint) = &endpoint {
             self.state.routes.record_ended(endpoint, false, self.now);
         }
-        self.drop_run(ticket);
+        self.discard_run(ticket);
         self.effects.push(NodeEffect::Cancel { ticket, endpoint });
     }
 
     /// Tells the crash guard that the latest run of a request is over.
-    fn drop_run(&mut self, ticket: RequestTicket) {
-        if let Some(guard) = self.state.run_of.remove(&ticket) {
-            self.state.runs.remove(&guard);
-            self.take_crash(CrashEvent::Stopped { ticket: guard });
+    fn discard_run(&mut self, ticket: RequestTicket) {
+        if let Some(crash_ticket) = self.state.crash_tickets.remove(&ticket) {
+            self.state.pending_runs.remove(&crash_ticket);
+            self.reduce_crash(CrashEvent::Stopped {
+                ticket: crash_ticket,
+            });
         }
     }
 }
--- a/crates/clementinepond_decide/src/node/roster_part.rs
+++ b/crates/clementinepond_decide/src/node/roster.rs
@@ -1,6 +1,6 @@
 //! The roster and the parts that depend on members.
 
-use super::run::NodeRun;
+use super::node_reducer::NodeReducer;
 use super::{NodeEffect, PeerMessage};
 use crate::claim::ClaimEvent;
 use crate::configuration::ConfigurationEvent;
@@ -9,16 +9,16 @@
 use crate::roster::{self, RosterEffect, RosterEvent};
 use clementinepond_types::{DataCentreId, Epoch, VmId};
 
-impl NodeRun<'_> {
-    pub(super) fn take_roster(&mut self, event: RosterEvent) {
+impl NodeReducer<'_> {
+    pub(super) fn reduce_roster(&mut self, event: RosterEvent) {
         let effects = roster::reduce(&mut self.state.roster, event, self.now);
         for effect in effects {
-            self.carry_roster(effect);
+            self.handle_roster_effect(effect);
         }
-        self.spread_members();
+        self.propagate_members();
     }
 
-    fn carry_roster(&mut self, effect: RosterEffect) {
+    fn handle_roster_effect(&mut self, effect: RosterEffect) {
         match effect {
             RosterEffect::Send { to, message } => self.send(to, message),
             RosterEffect::SendAddress { address, message } => {
@@ -29,16 +29,16 @@
             }
             RosterEffect::UseParts(usable) => self.use_parts(usable),
             RosterEffect::MembersChanged { local, remote } => {
-                self.take_plan(PlanEvent::RosterChanged {
+                self.reduce_plan(PlanEvent::RosterChanged {
                     members: local.iter().cloned().collect(),
                 });
-                self.take_configuration(ConfigurationEvent::MembersChanged { local, remote });
+                self.reduce_configuration(ConfigurationEvent::MembersChanged { local, remote });
             }
             RosterEffect::RelayChanged { active } => {
-                self.take_configuration(ConfigurationEvent::RelayChanged { active });
+                self.reduce_configuration(ConfigurationEvent::RelayChanged { active });
             }
             RosterEffect::PeerDigest { from, digest } => {
-                self.take_configuration(ConfigurationEvent::PeerDigest { from, digest });
+                self.reduce_configuration(ConfigurationEvent::PeerDigest { from, digest });
             }
             RosterEffect::Released => self.effects.push(NodeEffect::Released),
             other => self.effects.push(NodeEffect::Roster(other)),
@@ -46,14 +46,14 @@
     }
 
     /// Tells the other parts about tables that are newer than the last ones.
-    fn spread_members(&mut self) {
+    fn propagate_members(&mut self) {
         let changed: Vec<(DataCentreId, Epoch, Vec<VmId>)> = self
             .state
             .roster
             .tables()
             .iter()
             .filter(|(data_centre, table)| {
-                self.state.epochs.get(*data_centre) != Some(&table.value.epoch)
+                self.state.known_epochs.get(*data_centre) != Some(&table.value.epoch)
             })
             .map(|(data_centre, table)| {
                 let members = table.value.members.keys().cloned().collect();
@@ -64,18 +64,18 @@
             return;
         }
         for (data_centre, epoch, members) in changed {
-            self.state.epochs.insert(data_centre.clone(), epoch);
-            self.take_claim(ClaimEvent::RosterChanged {
+            self.state.known_epochs.insert(data_centre.clone(), epoch);
+            self.reduce_claim(ClaimEvent::RosterChanged {
                 data_centre: data_centre.clone(),
                 epoch,
                 members: members.clone(),
             });
-            self.take_crash(CrashEvent::RosterChanged {
+            self.reduce_crash(CrashEvent::RosterChanged {
                 data_centre,
                 epoch,
                 members,
             });
         }
-        self.renew_view();
+        self.update_limit_view();
     }
 }
--- a/crates/clementinepond_decide/src/node/state.rs
+++ b/crates/clementinepond_decide/src/node/state.rs
@@ -57,18 +57,18 @@
     /// Demand for models.
     pub demand: DemandTable,
     pub(super) limit_settings: LimitSettings,
-    pub(super) usable: Option<UsableParts>,
-    pub(super) view: Option<RosterView>,
-    pub(super) stop: Option<PartsStop>,
-    pub(super) is_released: bool,
+    pub(super) usable_parts: Option<UsableParts>,
+    pub(super) limit_view: Option<RosterView>,
+    pub(super) parts_stop: Option<PartsStop>,
+    pub(super) is_limit_released: bool,
     pub(super) expects_share: bool,
-    pub(super) epochs: BTreeMap<DataCentreId, Epoch>,
-    pub(super) runs: BTreeMap<CrashTicket, PendingRun>,
-    pub(super) run_of: BTreeMap<RequestTicket, CrashTicket>,
+    pub(super) known_epochs: BTreeMap<DataCentreId, Epoch>,
+    pub(super) pending_runs: BTreeMap<CrashTicket, PendingRun>,
+    pub(super) crash_tickets: BTreeMap<RequestTicket, CrashTicket>,
     pub(super) next_run: u64,
-    pub(super) lost: BTreeSet<EndpointId>,
-    pub(super) listed: BTreeSet<EndpointId>,
-    pub(super) slow_tick: LocalTime,
+    pub(super) unreachable: BTreeSet<EndpointId>,
+    pub(super) listed_engines: BTreeSet<EndpointId>,
+    pub(super) next_slow_tick: LocalTime,
 }
 
 impl NodeState {
@@ -91,18 +91,18 @@
             plan: PlanState::new(settings.plan, vm.clone(), data_centre.clone()),
             demand: DemandTable::default(),
             limit_settings: settings.limit,
-            usable: None,
-            view: None,
-            stop: None,
-            is_released: false,
+            usable_parts: None,
+            limit_view: None,
+            parts_stop: None,
+            is_limit_released: false,
             expects_share: true,
-            epochs: BTreeMap::new(),
-            runs: BTreeMap::new(),
-            run_of: BTreeMap::new(),
+            known_epochs: BTreeMap::new(),
+            pending_runs: BTreeMap::new(),
+            crash_tickets: BTreeMap::new(),
             next_run: 0,
-            lost: BTreeSet::new(),
-            listed: BTreeSet::new(),
-            slow_tick: now,
+            unreachable: BTreeSet::new(),
+            listed_engines: BTreeSet::new(),
+            next_slow_tick: now,
             vm,
             data_centre,
         }
@@ -112,14 +112,14 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let has_share = self
-            .view
+            .limit_view
             .as_ref()
             .is_some_and(|view| view.share > PartCount::new(0) || !self.expects_share);
         has_share && self.limit.is_ready()
     }
 
     /// Returns how long grants on this VM's parts may live.
-    pub(super) fn longest_grant(&self) -> TimeSpan {
+    pub(super) fn longest_grant_lifetime(&self) -> TimeSpan {
         let members = self
             .roster
             .own_table()
--- a/crates/clementinepond_decide/src/route/endpoint_state.rs
+++ b/crates/clementinepond_decide/src/route/endpoint_state.rs
@@ -95,7 +95,7 @@
     /// latest one of the same incarnation.
     ///
     /// A new incarnation starts with an empty prefix cache.
-    pub fn take_report(&mut self, report: EndpointReport, now: LocalTime) -> bool {
+    pub fn apply_report(&mut self, report: EndpointReport, now: LocalTime) -> bool {
         if let Some(latest) = &self.report {
             let is_same = latest.incarnation == report.incarnation;
             if is_same && report.report_number <= latest.report_number {
--- a/crates/clementinepond_decide/src/route/table.rs
+++ b/crates/clementinepond_decide/src/route/table.rs
@@ -61,7 +61,7 @@
 
     /// Stores an endpoint's report; returns false if the endpoint is not configured or
     /// the report is not newer than the stored one.
-    pub fn take_report(
+    pub fn apply_report(
         &mut self,
         endpoint: &EndpointId,
         report: EndpointReport,
@@ -69,7 +69,7 @@
     ) -> bool {
         self.endpoints
             .get_mut(endpoint)
-            .is_some_and(|state| state.take_report(report, now))
+            .is_some_and(|state| state.apply_report(report, now))
     }
 
     /// Records a request sent to an endpoint, whose prefix is then taken for cached.
--- a/crates/clementinepond_decide/tests/crash_guard.rs
+++ b/crates/clementinepond_decide/tests/crash_guard.rs
@@ -158,7 +158,7 @@
         let event = CrashEvent::EndpointReported {
             endpoint: at.clone(),
             incarnation: EndpointIncarnation::new(incarnation),
-            asked_at: self.now,
+            requested_at: self.now,
         };
         self.apply(node, event);
         self.advance(TimeSpan::from_millis(100));
--- a/crates/clementinepond_decide/tests/route.rs
+++ b/crates/clementinepond_decide/tests/route.rs
@@ -45,7 +45,7 @@
     let profiles = (0..count).map(|index| (endpoint(index), profile.clone()));
     table.configure(profiles.collect());
     for index in 0..count {
-        table.take_report(&endpoint(index), report(1, 0), LocalTime::ORIGIN);
+        table.apply_report(&endpoint(index), report(1, 0), LocalTime::ORIGIN);
     }
     table
 }
@@ -69,7 +69,7 @@
     let mut table = table(3);
     let mut draining = report(2, 0);
     draining.draining = true;
-    table.take_report(&endpoint(1), draining, LocalTime::ORIGIN);
+    table.apply_report(&endpoint(1), draining, LocalTime::ORIGIN);
     for seed in 0..200 {
         assert_ne!(
             table.choose(&query(seed), LocalTime::ORIGIN),
@@ -104,8 +104,8 @@
 #[test]
 fn older_report_is_ignored() {
     let mut table = table(1);
-    assert!(table.take_report(&endpoint(0), report(5, 9), LocalTime::ORIGIN));
-    assert!(!table.take_report(&endpoint(0), report(4, 0), LocalTime::ORIGIN));
+    assert!(table.apply_report(&endpoint(0), report(5, 9), LocalTime::ORIGIN));
+    assert!(!table.apply_report(&endpoint(0), report(4, 0), LocalTime::ORIGIN));
     let state = &table.endpoints[&endpoint(0)];
     assert_eq!(state.report.as_ref().unwrap().running, 9);
 }
@@ -120,7 +120,7 @@
     query.prefix = Some(prefix);
     query.prompt_tokens = 2_000;
     assert_eq!(table.choose(&query, LocalTime::ORIGIN), Ok(endpoint(5)));
-    table.take_report(&endpoint(5), report(2, 100), LocalTime::ORIGIN);
+    table.apply_report(&endpoint(5), report(2, 100), LocalTime::ORIGIN);
     assert_ne!(table.choose(&query, LocalTime::ORIGIN), Ok(endpoint(5)));
 }
 
@@ -128,7 +128,7 @@
 fn endpoint_without_recent_report_is_skipped() {
     let mut table = table(2);
     let later = LocalTime::ORIGIN + TimeSpan::from_secs(60);
-    table.take_report(&endpoint(1), report(2, 50), later);
+    table.apply_report(&endpoint(1), report(2, 50), later);
     for seed in 0..50 {
         assert_eq!(table.choose(&query(seed), later), Ok(endpoint(1)));
     }
--- a/crates/clementinepond_measure/src/experiment/capacity/node_load.rs
+++ b/crates/clementinepond_measure/src/experiment/capacity/node_load.rs
@@ -196,7 +196,7 @@
             report: report(index, self.report_number, self.size.models),
             running: 3,
             queued: 0,
-            asked_at: self.now,
+            requested_at: self.now,
         };
         self.take(NodeEvent::EndpointReported {
             endpoint: endpoint(index),
--- a/crates/clementinepond_measure/src/experiment/crash/endpoints.rs
+++ b/crates/clementinepond_measure/src/experiment/crash/endpoints.rs
@@ -129,7 +129,7 @@
         let event = CrashEvent::EndpointReported {
             endpoint: self.endpoints[place].name.clone(),
             incarnation: EndpointIncarnation::new(incarnation),
-            asked_at: LocalTime::from_micros(at),
+            requested_at: LocalTime::from_micros(at),
         };
         self.apply(vm, event, at);
     }
--- a/crates/clementinepond_measure/src/experiment/routing/world.rs
+++ b/crates/clementinepond_measure/src/experiment/routing/world.rs
@@ -196,7 +196,7 @@
             let mut table = RouteTable::new(RouteSettings::default(), data_centre.clone());
             table.configure(profiles.clone());
             for (index, report) in first.iter().enumerate() {
-                table.take_report(&endpoint(index), report.clone(), self.now);
+                table.apply_report(&endpoint(index), report.clone(), self.now);
             }
             self.tables.push(table);
         }
@@ -357,7 +357,7 @@
     fn see_reports(&mut self, page: usize) {
         for table in &mut self.tables {
             for (index, report) in self.reports[page].iter().enumerate() {
-                table.take_report(&endpoint(index), report.clone(), self.now);
+                table.apply_report(&endpoint(index), report.clone(), self.now);
             }
         }
     }
