--- a/crates/clementinepond_daemon/src/caller/answer.rs
+++ b/crates/clementinepond_daemon/src/caller/answer.rs
@@ -119,27 +119,27 @@
         key,
         call,
     });
-    let departure = CancellationToken::new();
-    report_departure(state, ticket, departure.clone());
+    let caller_left = CancellationToken::new();
+    report_caller_left(state, ticket, caller_left.clone());
     PendingAnswer {
         messages,
         end,
         trace,
         _slot: slot,
-        _guard: departure.drop_guard(),
+        _guard: caller_left.drop_guard(),
         is_ended: false,
     }
 }
 
 /// Notifies the node task when the answer is dropped, for whatever reason.
-fn report_departure(
+fn report_caller_left(
     state: &CallerState,
     ticket: clementinepond_types::RequestTicket,
-    departure: CancellationToken,
+    caller_left: CancellationToken,
 ) {
     let node = state.node.clone();
     tokio::spawn(async move {
-        departure.cancelled().await;
+        caller_left.cancelled().await;
         let event = clementinepond_decide::request::RequestEvent::CallerLeft { ticket };
         node.send_event(clementinepond_decide::node::NodeEvent::Request(event));
     });
--- a/crates/clementinepond_daemon/src/configuration/active.rs
+++ b/crates/clementinepond_daemon/src/configuration/active.rs
@@ -2,7 +2,7 @@
 
 use super::{ConfigurationSnapshot, fleet_view};
 use crate::clock::LocalClock;
-use crate::endpoint::{AddressBook, EndpointAddress};
+use crate::endpoint::{EndpointAddress, EndpointAddresses};
 use crate::telemetry::MetricSet;
 use clementinepond_decide::node::FleetView;
 use clementinepond_settings::FaultList;
@@ -16,7 +16,7 @@
     pub(crate) clock: LocalClock,
     pub(crate) data_centre: DataCentreId,
     pub(crate) snapshot: watch::Sender<Arc<ConfigurationSnapshot>>,
-    pub(crate) addresses: watch::Sender<Arc<AddressBook>>,
+    pub(crate) addresses: watch::Sender<Arc<EndpointAddresses>>,
     pub(crate) metrics: Arc<MetricSet>,
 }
 
@@ -104,7 +104,7 @@
         .collect()
 }
 
-fn addresses(configuration: &FleetConfiguration) -> AddressBook {
+fn addresses(configuration: &FleetConfiguration) -> EndpointAddresses {
     let endpoints = configuration.endpoints.iter();
     endpoints
         .map(|(id, entry)| {
--- a/crates/clementinepond_daemon/src/configuration/fleet_view.rs
+++ b/crates/clementinepond_daemon/src/configuration/fleet_view.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 /// Factor from loads per 1,000 s, the unit of the settings, to loads per hour (3,600 s).
-const PER_HOUR_OF_PER_1000_S: f64 = 3.6;
+const PER_1000_S_TO_PER_HOUR: f64 = 3.6;
 
 /// Returns the values that the reducers use from a configuration.
 pub(crate) fn fleet_view(
@@ -142,7 +142,7 @@
     let count = u32::try_from(configuration.data_centres.len()).unwrap_or(u32::MAX);
     let count = count.max(1);
     let defaults = &configuration.defaults;
-    let hourly = f64::from(defaults.store_loads_per_1000s) * PER_HOUR_OF_PER_1000_S;
+    let hourly = f64::from(defaults.store_loads_per_1000s) * PER_1000_S_TO_PER_HOUR;
     StoreShare {
         loads_an_hour: hourly as u32 / count,
         loads_at_once: (defaults.store_loads_at_once / count).max(1),
--- a/crates/clementinepond_daemon/src/endpoint/attempt.rs
+++ b/crates/clementinepond_daemon/src/endpoint/attempt.rs
@@ -111,7 +111,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, AttemptOutcome> {
         let client = if self.body.is_repeatable {
-            &self.client.client
+            &self.client.pooled_client
         } else {
             &self.client.unpooled_client
         };
--- a/crates/clementinepond_daemon/src/endpoint/client.rs
+++ b/crates/clementinepond_daemon/src/endpoint/client.rs
@@ -25,29 +25,29 @@
 }
 
 /// Addresses of the configured endpoints, by name.
-pub(crate) type AddressBook = BTreeMap<EndpointId, EndpointAddress>;
+pub(crate) type EndpointAddresses = BTreeMap<EndpointId, EndpointAddress>;
 
 /// Clients, settings and addresses for calls to endpoints.
 #[derive(Debug, Clone)]
 pub(crate) struct EndpointClient {
     pub(crate) clock: LocalClock,
     pub(crate) settings: EndpointSettings,
-    pub(crate) client: HttpClient,
-    /// Client that opens a new connection for each call, for calls that must not run twice: a
-    /// failed connection then proves that nothing was sent.
+    pub(crate) pooled_client: HttpClient,
+    /// Client that opens a new connection for each call, for calls that must not run
+    /// twice.
     pub(crate) unpooled_client: HttpClient,
-    pub(crate) addresses: watch::Receiver<Arc<AddressBook>>,
+    pub(crate) addresses: watch::Receiver<Arc<EndpointAddresses>>,
 }
 
 impl EndpointClient {
     pub(crate) fn new(
         clock: LocalClock,
         settings: EndpointSettings,
-        addresses: watch::Receiver<Arc<AddressBook>>,
+        addresses: watch::Receiver<Arc<EndpointAddresses>>,
     ) -> Self {
         Self {
             clock,
-            client: new_client(settings.connect_timeout),
+            pooled_client: new_client(settings.connect_timeout),
             unpooled_client: crate::http::new_unpooled_client(settings.connect_timeout),
             settings,
             addresses,
@@ -95,7 +95,7 @@
                 return;
             };
             let timeout = client.settings.connect_timeout;
-            if let Err(error) = send(&client.client, request, timeout).await {
+            if let Err(error) = send(&client.pooled_client, request, timeout).await {
                 log::info!(
                     "event=cancel_failed endpoint={endpoint} request={request_id} error=\"{error}\""
                 );
--- a/crates/clementinepond_daemon/src/endpoint/mod.rs
+++ b/crates/clementinepond_daemon/src/endpoint/mod.rs
@@ -7,6 +7,6 @@
 mod report;
 mod service;
 
-pub(crate) use client::{AddressBook, EndpointAddress, EndpointClient};
+pub(crate) use client::{EndpointAddress, EndpointAddresses, EndpointClient};
 pub(crate) use order::PlanOrder;
 pub(crate) use report::poll_reports;
--- a/crates/clementinepond_daemon/src/endpoint/report.rs
+++ b/crates/clementinepond_daemon/src/endpoint/report.rs
@@ -140,7 +140,7 @@
         .body(Full::new(Bytes::new()))
         .ok()?;
     let timeout: TimeSpan = client.settings.connect_timeout;
-    let response = send(&client.client, request, timeout).await.ok()?;
+    let response = send(&client.pooled_client, request, timeout).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
