--- a/crates/clementinepond_daemon/src/caller/answer.rs
+++ b/crates/clementinepond_daemon/src/caller/answer.rs
@@ -1,10 +1,10 @@
-//! The answer's way from the node to the caller.
+//! Transfer of answers from the node task to the caller.
 
 use super::CallerState;
 use super::error_body::{
     CallerError, CallerOutcome, OUTCOME_HEADER, REQUEST_ID_HEADER, set_header,
 };
-use crate::node::{CallBody, CallSignal, CallerCall, NodeInput};
+use crate::node::{AnswerMessage, CallBody, CallerCall, NodeInput};
 use crate::telemetry::RequestTrace;
 use bytes::Bytes;
 use clementinepond_decide::claim::RecordedAnswer;
@@ -18,54 +18,55 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// Chunks that wait for a slow caller before the endpoint is held back.
-const SIGNAL_LIMIT: usize = 64;
+/// Number of messages buffered for a slow caller before reading from the endpoint pauses.
+const MESSAGE_LIMIT: usize = 64;
 
-/// Form of the answer that the caller asked for.
+/// Form of the answer that the caller requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AnswerForm {
-    /// One body.
-    Whole,
-    /// Server-sent events.
+    /// One complete body.
+    Single,
+    /// Stream of server-sent events.
     Stream,
 }
 
-/// A request that the node works on, seen from the caller's side.
+/// Answer that the caller waits for or receives.
 struct PendingAnswer {
-    signals: mpsc::Receiver<CallSignal>,
+    messages: mpsc::Receiver<AnswerMessage>,
     end: oneshot::Receiver<RequestEnd>,
     trace: RequestTrace,
-    /// Held until the answer ends.
+    /// Slot for a concurrent request, held until the answer ends.
     _slot: OwnedSemaphorePermit,
-    /// Stops the attempt when the caller goes away.
+    /// Guard that reports to the node task when this value is dropped, also when the caller
+    /// disconnects.
     _guard: DropGuard,
     is_ended: bool,
 }
 
-/// What comes next on the way to the caller.
+/// Next step of an answer.
 enum NextStep {
-    Signal(CallSignal),
+    Message(AnswerMessage),
     End(RequestEnd),
 }
 
 impl PendingAnswer {
-    /// Returns signals first and the end last.
+    /// Returns the next message, then the end of the request, then none.
     async fn next(&mut self) -> Option<NextStep> {
         if self.is_ended {
             return None;
         }
         tokio::select! {
             biased;
-            Some(signal) = self.signals.recv() => Some(NextStep::Signal(signal)),
+            Some(message) = self.messages.recv() => Some(NextStep::Message(message)),
             end = &mut self.end => {
-                if let Ok(signal) = self.signals.try_recv() {
-                    // The end is kept for the next call.
+                if let Ok(message) = self.messages.try_recv() {
+                    // A message was sent before the end: store the end for the next call.
                     let (sender, receiver) = oneshot::channel();
                     if let Ok(end) = end {
                         let _ = sender.send(end);
                     }
                     self.end = receiver;
-                    return Some(NextStep::Signal(signal));
+                    return Some(NextStep::Message(message));
                 }
                 self.is_ended = true;
                 Some(NextStep::End(end.unwrap_or(RequestEnd::Abandoned)))
@@ -74,7 +75,7 @@
     }
 }
 
-/// Hands a request to the node and passes the answer on.
+/// Sends a request to the node task and its answer to the caller.
 pub(crate) async fn answer(
     state: &CallerState,
     profile: RequestProfile,
@@ -88,8 +89,8 @@
     let trace = RequestTrace::start(&state.traces, &state.metrics, &body.request_id, &profile);
     let mut pending = submit(state, profile, key, body, trace, slot);
     match form {
-        AnswerForm::Whole => pass_whole(&mut pending, response).await,
-        AnswerForm::Stream => pass_stream(pending, response).await,
+        AnswerForm::Single => send_single(&mut pending, response).await,
+        AnswerForm::Stream => send_stream(pending, response).await,
     }
 }
 
@@ -101,13 +102,13 @@
     trace: RequestTrace,
     slot: OwnedSemaphorePermit,
 ) -> PendingAnswer {
-    let (signal_sender, signals) = mpsc::channel(SIGNAL_LIMIT);
+    let (message_sender, messages) = mpsc::channel(MESSAGE_LIMIT);
     let (end_sender, end) = oneshot::channel();
     let ticket = state.node.new_ticket();
     let cancellation = CancellationToken::new();
     let call = CallerCall {
         body: Arc::new(body),
-        signals: signal_sender,
+        messages: message_sender,
         end: end_sender,
         cancellation: cancellation.clone(),
         spans: trace.spans(),
@@ -118,51 +119,51 @@
         key,
         call,
     });
-    let departure = CancellationToken::new();
-    watch_departure(state, ticket, departure.clone());
+    let caller_left = CancellationToken::new();
+    report_caller_left(state, ticket, caller_left.clone());
     PendingAnswer {
-        signals,
+        messages,
         end,
         trace,
         _slot: slot,
-        _guard: departure.drop_guard(),
+        _guard: caller_left.drop_guard(),
         is_ended: false,
     }
 }
 
-/// Tells the node when the caller's side is dropped, whatever the reason.
-fn watch_departure(
+/// Notifies the node task when the answer is dropped, for whatever reason.
+fn report_caller_left(
     state: &CallerState,
     ticket: clementinepond_types::RequestTicket,
-    departure: CancellationToken,
+    caller_left: CancellationToken,
 ) {
     let node = state.node.clone();
     tokio::spawn(async move {
-        departure.cancelled().await;
+        caller_left.cancelled().await;
         let event = clementinepond_decide::request::RequestEvent::CallerLeft { ticket };
         node.send_event(clementinepond_decide::node::NodeEvent::Request(event));
     });
 }
 
-async fn pass_whole(
+async fn send_single(
     pending: &mut PendingAnswer,
     response: &mut Response,
 ) -> Result<(), CallerError> {
-    let mut whole = None;
+    let mut complete = None;
     loop {
         match pending.next().await {
-            Some(NextStep::Signal(signal)) => whole = Some(signal),
+            Some(NextStep::Message(message)) => complete = Some(message),
             Some(NextStep::End(end)) => {
                 pending.trace.end(&end);
-                return render_whole(whole, &end, response);
+                return render_single(complete, &end, response);
             }
             None => return Err(CallerError::from_end(&RequestEnd::Abandoned)),
         }
     }
 }
 
-fn render_whole(
-    whole: Option<CallSignal>,
+fn render_single(
+    complete: Option<AnswerMessage>,
     end: &RequestEnd,
     response: &mut Response,
 ) -> Result<(), CallerError> {
@@ -175,11 +176,11 @@
         RequestEnd::Rejected => CallerOutcome::NotRun,
         other => return Err(CallerError::from_end(other)),
     };
-    let Some(CallSignal::Whole {
+    let Some(AnswerMessage::Complete {
         status,
         content_type,
         body,
-    }) = whole
+    }) = complete
     else {
         return Err(CallerError::from_end(end));
     };
@@ -190,7 +191,7 @@
     Ok(())
 }
 
-/// Renders the recorded answer of an earlier run.
+/// Renders the answer that was recorded for an earlier call with the same idempotency key.
 fn render_replay(answer: &RecordedAnswer, response: &mut Response) {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     response.status_code(status);
@@ -205,25 +206,25 @@
     response.body(ResBody::Once(Bytes::copy_from_slice(&answer.body)));
 }
 
-/// Sends the head only once the first chunk is there, so that a refusal can
-/// still have a status of its own.
-async fn pass_stream(
+/// Sends the response head only after the first chunk has arrived, so that an earlier failure
+/// can be answered with its own status.
+async fn send_stream(
     mut pending: PendingAnswer,
     response: &mut Response,
 ) -> Result<(), CallerError> {
     let first = match pending.next().await {
-        Some(NextStep::Signal(CallSignal::Chunk(chunk))) => chunk,
-        Some(NextStep::Signal(whole)) => {
-            let end = finish_quietly(&mut pending).await;
-            return render_whole(Some(whole), &end, response);
+        Some(NextStep::Message(AnswerMessage::Chunk(chunk))) => chunk,
+        Some(NextStep::Message(complete)) => {
+            let end = wait_for_end(&mut pending).await;
+            return render_single(Some(complete), &end, response);
         }
         Some(NextStep::End(end)) => {
             pending.trace.end(&end);
-            return render_whole(None, &end, response);
+            return render_single(None, &end, response);
         }
         None => return Err(CallerError::from_end(&RequestEnd::Abandoned)),
     };
-    pending.trace.note_first_token();
+    pending.trace.record_first_token();
     set_header(response, "content-type", "text/event-stream");
     set_header(response, "cache-control", "no-store");
     let events = stream::unfold((Some(first), pending), next_event);
@@ -231,7 +232,7 @@
     Ok(())
 }
 
-async fn finish_quietly(pending: &mut PendingAnswer) -> RequestEnd {
+async fn wait_for_end(pending: &mut PendingAnswer) -> RequestEnd {
     while let Some(step) = pending.next().await {
         if let NextStep::End(end) = step {
             pending.trace.end(&end);
@@ -249,8 +250,8 @@
         return Some((Ok(data_event(&chunk)), (None, pending)));
     }
     let event = match pending.next().await? {
-        NextStep::Signal(CallSignal::Chunk(chunk)) => data_event(&chunk),
-        NextStep::Signal(CallSignal::Whole { body, .. }) => data_event(&body),
+        NextStep::Message(AnswerMessage::Chunk(chunk)) => data_event(&chunk),
+        NextStep::Message(AnswerMessage::Complete { body, .. }) => data_event(&body),
         NextStep::End(end) => {
             pending.trace.end(&end);
             closing_event(&end)
@@ -263,8 +264,8 @@
     [b"data: ".as_slice(), chunk, b"\n\n"].concat().into()
 }
 
-/// Ends a stream: an error event when it is not whole, and the outcome as a
-/// comment, which every client ignores unless it looks for it.
+/// Returns the last event of a stream: `[DONE]` or an error, with the outcome as an SSE comment,
+/// which clients ignore by default.
 fn closing_event(end: &RequestEnd) -> Bytes {
     if matches!(end, RequestEnd::Complete { .. }) {
         return Bytes::from_static(b": clementinepond-outcome: complete\n\ndata: [DONE]\n\n");
--- a/crates/clementinepond_daemon/src/caller/service.rs
+++ b/crates/clementinepond_daemon/src/caller/service.rs
@@ -1,7 +1,7 @@
-//! Handler of plain services.
+//! Handler of calls to services that are not models.
 
 use super::CallerState;
-use super::admission::{authenticate, new_request_id, read_body, read_idempotency, take_slot};
+use super::admission::{acquire_slot, authenticate, new_request_id, read_body, read_idempotency};
 use super::answer::{AnswerForm, answer};
 use super::error_body::CallerError;
 use super::inference::idempotency_key;
@@ -16,7 +16,8 @@
 use salvo::http::{Method, StatusCode};
 use salvo::{Depot, Request, Response, handler};
 
-/// Headers that concern one connection only, or that the system sets itself.
+/// Headers that are not forwarded: hop-by-hop headers, headers that the client sets itself, and
+/// credentials.
 const DROPPED_HEADERS: [HeaderName; 9] = [
     header::AUTHORIZATION,
     header::PROXY_AUTHORIZATION,
@@ -43,7 +44,7 @@
         Err(error) => return error.render(None, response),
     };
     if let Err(error) = serve(state, &request_id, request, response).await {
-        state.metrics.note_refusal(error.code);
+        state.metrics.record_refusal(error.code);
         error.render(Some(&request_id), response);
     }
 }
@@ -65,12 +66,12 @@
         return Err(CallerError::not_run(
             StatusCode::NOT_FOUND,
             "service_not_found",
-            "the service is unknown; correct its name in the path",
+            "the service is unknown; correct the name in the path",
         ));
     };
     let lookup = find_caller(route, request, &snapshot, state.clock.now())?;
     let idempotency = read_idempotency(request)?;
-    let slot = take_slot(state)?;
+    let slot = acquire_slot(state)?;
     let payload = read_body(state, request).await?;
     let path = service_path(request);
     let method = request.method().clone();
@@ -113,7 +114,16 @@
         },
     };
     let key = lookup.as_ref().map(|lookup| lookup.digest);
-    answer(state, profile, key, body, AnswerForm::Whole, slot, response).await
+    answer(
+        state,
+        profile,
+        key,
+        body,
+        AnswerForm::Single,
+        slot,
+        response,
+    )
+    .await
 }
 
 fn find_caller(
@@ -129,7 +139,7 @@
     authenticate(request, snapshot, now).map(Some)
 }
 
-/// Hashes what makes two calls of a service the same.
+/// Returns the fingerprint of a call, from the client account, the route and the call itself.
 fn service_fingerprint(
     lookup: Option<&KeyLookup>,
     route: &RouteName,
--- a/crates/clementinepond_daemon/src/configuration/in_force.rs
+++ b/crates/clementinepond_daemon/src/configuration/active.rs
@@ -1,8 +1,8 @@
-//! Bringing a configuration into force.
+//! Application of new configurations.
 
 use super::{ConfigurationSnapshot, fleet_view};
 use crate::clock::LocalClock;
-use crate::endpoint::{AddressBook, EndpointAddress};
+use crate::endpoint::{EndpointAddress, EndpointAddresses};
 use crate::telemetry::MetricSet;
 use clementinepond_decide::node::FleetView;
 use clementinepond_settings::FaultList;
@@ -11,23 +11,23 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The configuration in force and everything that follows it.
-pub(crate) struct ConfigurationInForce {
+/// Active configuration, published to the tasks that depend on it.
+pub(crate) struct ActiveConfiguration {
     pub(crate) clock: LocalClock,
     pub(crate) data_centre: DataCentreId,
     pub(crate) snapshot: watch::Sender<Arc<ConfigurationSnapshot>>,
-    pub(crate) addresses: watch::Sender<Arc<AddressBook>>,
+    pub(crate) addresses: watch::Sender<Arc<EndpointAddresses>>,
     pub(crate) metrics: Arc<MetricSet>,
 }
 
-/// What follows from a configuration that came into force.
+/// Results of applying a configuration.
 pub(crate) struct AppliedConfiguration {
     pub(crate) view: FleetView,
     pub(crate) withdrawn: Vec<KeyDigest>,
 }
 
-impl ConfigurationInForce {
-    /// Puts a version in force.
+impl ActiveConfiguration {
+    /// Parses a version and makes it the active configuration.
     pub(crate) fn apply(
         &self,
         version: ObjectVersion,
@@ -46,25 +46,25 @@
             key_deadline: before.key_deadline,
             applied: self.clock.now(),
         }));
-        self.metrics.note_configuration(version.get());
+        self.metrics.record_configuration(version.get());
         log::info!("event=configuration_applied version={version}");
         Ok(AppliedConfiguration { view, withdrawn })
     }
 
-    /// Refuses a key from now on, whatever the configuration says.
+    /// Refuses a key from now on, even if a later configuration contains it.
     pub(crate) fn withdraw(&self, key: KeyDigest) {
         log::info!("event=key_withdrawn digest={key}");
-        self.change(|snapshot| {
+        self.modify(|snapshot| {
             snapshot.withdrawn.insert(key);
         });
     }
 
-    /// Accepts keys until a moment.
+    /// Sets the time until which keys are accepted.
     pub(crate) fn accept_keys(&self, deadline: LocalTime) {
-        self.change(|snapshot| snapshot.key_deadline = deadline);
+        self.modify(|snapshot| snapshot.key_deadline = deadline);
     }
 
-    /// Returns those of the keys that the configuration in force holds.
+    /// Returns the given keys that the active configuration contains.
     pub(crate) fn present_keys(&self, keys: &[KeyDigest]) -> Vec<KeyDigest> {
         let snapshot = self.snapshot.borrow();
         let held = &snapshot.configuration.keys;
@@ -82,13 +82,14 @@
         self.snapshot.borrow().version
     }
 
-    fn change(&self, change: impl FnOnce(&mut ConfigurationSnapshot)) {
+    fn modify(&self, change: impl FnOnce(&mut ConfigurationSnapshot)) {
         self.snapshot
             .send_modify(|snapshot| change(Arc::make_mut(snapshot)));
     }
 }
 
-/// Returns the keys that no longer work.
+/// Returns the keys of the old configuration that the new one lacks or whose account is missing
+/// or disabled.
 fn removed_keys(old: &FleetConfiguration, new: &FleetConfiguration) -> Vec<KeyDigest> {
     let is_valid = |digest: &KeyDigest| {
         new.keys
@@ -103,7 +104,7 @@
         .collect()
 }
 
-fn addresses(configuration: &FleetConfiguration) -> AddressBook {
+fn addresses(configuration: &FleetConfiguration) -> EndpointAddresses {
     let endpoints = configuration.endpoints.iter();
     endpoints
         .map(|(id, entry)| {
--- a/crates/clementinepond_daemon/src/endpoint/attempt.rs
+++ b/crates/clementinepond_daemon/src/endpoint/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt of a request at one endpoint.
+//! Attempts to run a request at an endpoint.
 
-use super::EndpointEdge;
-use crate::node::{CallBody, CallKind, CallSignal, NodeHandle};
+use super::EndpointClient;
+use crate::node::{AnswerMessage, CallBody, CallKind, NodeHandle};
 use crate::telemetry::{SpanRecorder, end_span};
 use bytes::Bytes;
 use clementinepond_decide::claim::RecordedAnswer;
@@ -17,39 +17,39 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Header that carries our identifier to the endpoint and back.
+/// Header with the request identifier; the endpoint returns it with the answer.
 pub(super) const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header that carries the priority class.
+/// Header with the priority class of the request.
 pub(super) const PRIORITY_HEADER: &str = "x-priority";
-/// Header by which an endpoint says that it ran nothing.
+/// Response header with which an endpoint states that it did not run the request.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// One attempt of a request at one endpoint.
+/// Attempt to run a request at one endpoint.
 pub(super) struct Attempt {
-    pub(super) edge: EndpointEdge,
+    pub(super) client: EndpointClient,
     pub(super) order: DispatchOrder,
     pub(super) body: Arc<CallBody>,
-    pub(super) signals: mpsc::Sender<CallSignal>,
+    pub(super) messages: mpsc::Sender<AnswerMessage>,
     pub(super) cancellation: CancellationToken,
     pub(super) node: NodeHandle,
     pub(super) spans: SpanRecorder,
 }
 
 impl Attempt {
-    /// Runs the attempt and reports its outcome.
+    /// Runs the attempt and reports its outcome, or that the caller disconnected.
     pub(super) async fn run(self) {
         let cancellation = self.cancellation.clone();
-        let caller = self.signals.clone();
+        let caller = self.messages.clone();
         let mut span = self.spans.start("attempt", self.attributes());
         tokio::select! {
             outcome = self.perform() => {
                 end_span(&mut span, outcome_name(&outcome));
-                self.end(outcome);
+                self.report_end(outcome);
             }
             () = cancellation.cancelled() => end_span(&mut span, "cancelled"),
             () = caller.closed() => {
                 end_span(&mut span, "caller_left");
-                self.leave();
+                self.report_caller_left();
             }
         }
     }
@@ -63,15 +63,15 @@
     }
 
     async fn perform(&self) -> AttemptOutcome {
-        // A process that was paused may hold an order that has lapsed.
-        if self.edge.clock.now() >= self.order.deadline {
+        // The order may have expired if the process was paused.
+        if self.client.clock.now() >= self.order.deadline {
             log::warn!(
                 "event=dispatch_dropped ticket={} reason=lapsed",
                 self.order.ticket
             );
             return AttemptOutcome::NotSent;
         }
-        let Some(address) = self.edge.address(&self.order.endpoint) else {
+        let Some(address) = self.client.address(&self.order.endpoint) else {
             return AttemptOutcome::NotSent;
         };
         match &self.body.kind {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn end(&self, outcome: AttemptOutcome) {
+    fn report_end(&self, outcome: AttemptOutcome) {
         log::info!(
             "event=attempt_ended request={} attempt={} endpoint={} outcome={}",
             self.body.request_id,
@@ -88,34 +88,34 @@
             self.order.endpoint,
             outcome_name(&outcome),
         );
-        self.tell(RequestEvent::AttemptEnded {
+        self.notify(RequestEvent::AttemptEnded {
             ticket: self.order.ticket,
             attempt: self.order.attempt,
             outcome,
         });
     }
 
-    fn leave(&self) {
-        self.tell(RequestEvent::CallerLeft {
+    fn report_caller_left(&self) {
+        self.notify(RequestEvent::CallerLeft {
             ticket: self.order.ticket,
         });
     }
 
-    pub(super) fn tell(&self, event: RequestEvent) {
+    pub(super) fn notify(&self, event: RequestEvent) {
         self.node.send_event(NodeEvent::Request(event));
     }
 
-    /// Sends the request and returns the head of the answer.
+    /// Sends the request and returns the response, whose body has not been read.
     pub(super) async fn send(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, AttemptOutcome> {
         let client = if self.body.is_repeatable {
-            &self.edge.client
+            &self.client.pooled_client
         } else {
-            &self.edge.fresh_client
+            &self.client.unpooled_client
         };
-        let timeout = self.edge.settings.answer_timeout;
+        let timeout = self.client.settings.answer_timeout;
         crate::http::send(client, request, timeout)
             .await
             .map_err(|failure| match failure {
@@ -124,18 +124,18 @@
             })
     }
 
-    /// Returns whether the answer belongs to this request.
+    /// Returns whether the answer carries the identifier of this request; logs it if not.
     pub(super) fn is_own(&self, headers: &HeaderMap) -> bool {
         let is_own = headers
             .get(REQUEST_ID_HEADER)
             .is_some_and(|id| id.as_bytes() == self.body.request_id.as_str().as_bytes());
         if !is_own {
-            self.note_crossed();
+            self.log_crossed_answer();
         }
         is_own
     }
 
-    pub(super) fn note_crossed(&self) {
+    pub(super) fn log_crossed_answer(&self) {
         log::warn!(
             "event=answer_crossed request={} endpoint={}",
             self.body.request_id,
@@ -143,7 +143,8 @@
         );
     }
 
-    /// Keeps the answer of a call that may run only once for its repeats.
+    /// Returns the answer to record for retries of a call that must not run twice; none if the
+    /// call may run again.
     pub(super) fn record(
         &self,
         status: StatusCode,
@@ -161,14 +162,19 @@
         }))
     }
 
-    pub(super) async fn pass_whole(&self, status: StatusCode, headers: &HeaderMap, body: Bytes) {
-        let signal = CallSignal::Whole {
+    pub(super) async fn send_complete_answer(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+        body: Bytes,
+    ) {
+        let message = AnswerMessage::Complete {
             status,
             content_type: content_type(headers).into(),
             body,
         };
-        // The caller may have gone; its end is reported by `run`.
-        let _ = self.signals.send(signal).await;
+        // The receiver is gone if the caller has disconnected, which `run` reports.
+        let _ = self.messages.send(message).await;
     }
 }
 
@@ -179,19 +185,19 @@
         .unwrap_or("application/octet-stream")
 }
 
-/// Outcome of an attempt that passed nothing on and may have run.
+/// Outcome of an attempt that may have run but delivered nothing to the caller.
 pub(super) const BROKEN: AttemptOutcome = AttemptOutcome::Broken {
     delivered_tokens: 0,
 };
 
-/// Returns whether the endpoint proved that it ran nothing.
+/// Returns whether the endpoint states that it did not run the request.
 pub(super) fn is_not_run(headers: &HeaderMap) -> bool {
     headers
         .get(NOT_RUN_HEADER)
         .is_some_and(|value| value == "true")
 }
 
-/// Returns the address of a path at an endpoint.
+/// Returns the URI of a path on an endpoint.
 pub(super) fn uri(address: SocketAddr, path: &str) -> String {
     format!("http://{address}{path}")
 }
--- a/crates/clementinepond_daemon/src/endpoint/edge.rs
+++ b/crates/clementinepond_daemon/src/endpoint/client.rs
@@ -1,4 +1,4 @@
-//! What every call to an endpoint shares.
+//! Client for calls to endpoints.
 
 use super::attempt::Attempt;
 use crate::clock::LocalClock;
@@ -15,38 +15,40 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// Where an endpoint listens and what it answers.
+/// Address and kind of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndpointAddress {
     pub(crate) address: SocketAddr,
-    /// Whether it tells cache events; a plain service would run the call.
+    /// Whether the endpoint is a model engine. Only engines are polled for cache events, since a
+    /// service would run the call as a request.
     pub(crate) is_engine: bool,
 }
 
-/// Addresses of the configured endpoints.
-pub(crate) type AddressBook = BTreeMap<EndpointId, EndpointAddress>;
+/// Addresses of the configured endpoints, by name.
+pub(crate) type EndpointAddresses = BTreeMap<EndpointId, EndpointAddress>;
 
-/// What every call to an endpoint shares.
+/// Clients, settings and addresses for calls to endpoints.
 #[derive(Debug, Clone)]
-pub(crate) struct EndpointEdge {
+pub(crate) struct EndpointClient {
     pub(crate) clock: LocalClock,
     pub(crate) settings: EndpointSettings,
-    pub(crate) client: HttpClient,
-    /// Client that never reuses a connection, for calls that run only once.
-    pub(crate) fresh_client: HttpClient,
-    pub(crate) addresses: watch::Receiver<Arc<AddressBook>>,
+    pub(crate) pooled_client: HttpClient,
+    /// Client that opens a new connection for each call, for calls that must not run
+    /// twice.
+    pub(crate) unpooled_client: HttpClient,
+    pub(crate) addresses: watch::Receiver<Arc<EndpointAddresses>>,
 }
 
-impl EndpointEdge {
+impl EndpointClient {
     pub(crate) fn new(
         clock: LocalClock,
         settings: EndpointSettings,
-        addresses: watch::Receiver<Arc<AddressBook>>,
+        addresses: watch::Receiver<Arc<EndpointAddresses>>,
     ) -> Self {
         Self {
             clock,
-            client: new_client(settings.connect_timeout),
-            fresh_client: crate::http::new_fresh_client(settings.connect_timeout),
+            pooled_client: new_client(settings.connect_timeout),
+            unpooled_client: crate::http::new_unpooled_client(settings.connect_timeout),
             settings,
             addresses,
         }
@@ -57,19 +59,19 @@
         addresses.get(endpoint).map(|entry| entry.address)
     }
 
-    /// Returns whether an endpoint tells cache events.
+    /// Returns whether an endpoint is a model engine, which reports cache events.
     pub(crate) fn is_engine(&self, endpoint: &EndpointId) -> bool {
         let addresses = self.addresses.borrow();
         addresses.get(endpoint).is_some_and(|entry| entry.is_engine)
     }
 
-    /// Starts an attempt in a task of its own.
+    /// Starts an attempt in its own task.
     pub(crate) fn start_attempt(&self, order: DispatchOrder, call: &CallerCall, node: &NodeHandle) {
         let attempt = Attempt {
-            edge: self.clone(),
+            client: self.clone(),
             order,
             body: Arc::clone(&call.body),
-            signals: call.signals.clone(),
+            messages: call.messages.clone(),
             cancellation: call.cancellation.clone(),
             node: node.clone(),
             spans: call.spans.clone(),
@@ -77,11 +79,11 @@
         tokio::spawn(attempt.run());
     }
 
-    /// Tells an endpoint to stop a request.
+    /// Requests that an endpoint cancels a request, in its own task.
     pub(crate) fn cancel(&self, endpoint: EndpointId, request_id: RequestId) {
-        let edge = self.clone();
+        let client = self.clone();
         tokio::spawn(async move {
-            let Some(address) = edge.address(&endpoint) else {
+            let Some(address) = client.address(&endpoint) else {
                 return;
             };
             let uri = format!("http://{address}/v1/requests/{request_id}");
@@ -92,8 +94,8 @@
             let Ok(request) = request else {
                 return;
             };
-            let timeout = edge.settings.connect_timeout;
-            if let Err(error) = send(&edge.client, request, timeout).await {
+            let timeout = client.settings.connect_timeout;
+            if let Err(error) = send(&client.pooled_client, request, timeout).await {
                 log::info!(
                     "event=cancel_failed endpoint={endpoint} request={request_id} error=\"{error}\""
                 );
--- a/crates/clementinepond_daemon/src/endpoint/mod.rs
+++ b/crates/clementinepond_daemon/src/endpoint/mod.rs
@@ -1,12 +1,12 @@
-//! Calls to endpoints: attempts, cancellation and reports.
+//! Calls to endpoints: attempts, cancellation, placement orders and reports.
 
 mod attempt;
-mod edge;
+mod client;
 mod inference;
 mod order;
 mod report;
 mod service;
 
-pub(crate) use edge::{AddressBook, EndpointAddress, EndpointEdge};
+pub(crate) use client::{EndpointAddress, EndpointAddresses, EndpointClient};
 pub(crate) use order::PlanOrder;
-pub(crate) use report::run_reports;
+pub(crate) use report::poll_reports;
--- a/crates/clementinepond_daemon/src/endpoint/order.rs
+++ b/crates/clementinepond_daemon/src/endpoint/order.rs
@@ -1,6 +1,6 @@
-//! Orders of the plan to endpoints.
+//! Orders of placement to endpoints.
 
-use super::EndpointEdge;
+use super::EndpointClient;
 use super::attempt::uri;
 use crate::http::send;
 use crate::node::NodeHandle;
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, StatusCode};
 use serde::Serialize;
 
-/// One order of the plan.
+/// Order of placement to an endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct PlanOrder {
     pub(crate) endpoint: EndpointId,
@@ -21,7 +21,7 @@
     pub(crate) deadline: LocalTime,
 }
 
-/// An order as it goes over the wire.
+/// JSON body of an order.
 #[derive(Debug, Serialize)]
 struct OrderBody<'a> {
     order: OrderNumber,
@@ -30,13 +30,13 @@
     action: &'a EndpointAction,
 }
 
-impl EndpointEdge {
-    /// Sends an order in a task of its own and reports the answer.
+impl EndpointClient {
+    /// Sends an order in its own task and reports the reply to the node task.
     pub(crate) fn start_order(&self, order: PlanOrder, node: &NodeHandle) {
-        let edge = self.clone();
+        let client = self.clone();
         let node = node.clone();
         tokio::spawn(async move {
-            let reply = edge.order(&order).await;
+            let reply = client.order(&order).await;
             log::info!(
                 "event=order_answered endpoint={} order={} reply={reply:?}",
                 order.endpoint,
@@ -52,7 +52,7 @@
 
     async fn order(&self, order: &PlanOrder) -> OrderReply {
         let now = self.clock.now();
-        // A process that was paused may hold an order that has lapsed.
+        // The order may have expired if the process was paused.
         if now >= order.deadline {
             log::warn!("event=order_dropped order={} reason=lapsed", order.number);
             return OrderReply::Unknown;
@@ -78,7 +78,7 @@
             return OrderReply::Unknown;
         };
         let timeout = now.until(order.deadline);
-        match send(&self.fresh_client, request, timeout).await {
+        match send(&self.unpooled_client, request, timeout).await {
             Ok(response) => reply(response.status()),
             Err(_) => OrderReply::Unknown,
         }
--- a/crates/clementinepond_daemon/src/http/mod.rs
+++ b/crates/clementinepond_daemon/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP client shared by the edges.
+//! HTTP client for calls to endpoints and the platform.
 
 mod http_client;
 
 pub(crate) use http_client::{
-    HttpClient, HttpFailure, new_client, new_fresh_client, read_json, send,
+    HttpClient, HttpFailure, new_client, new_unpooled_client, read_json, send,
 };
--- a/crates/clementinepond_daemon/src/node/status.rs
+++ b/crates/clementinepond_daemon/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What the administration API shows of the node.
+//! Status of the node for the administration API.
 
 use super::task::NodeTask;
 use clementinepond_decide::plan::PlanStatus;
@@ -6,18 +6,18 @@
 use clementinepond_types::{EndpointId, VmId};
 use serde::Serialize;
 
-/// What the administration API shows of the node.
+/// Status of the node, as returned by the administration API.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct NodeStatus {
     pub(crate) running_requests: usize,
     pub(crate) roster: RosterStatus,
-    pub(crate) accounts: Vec<AccountLine>,
+    pub(crate) accounts: Vec<AccountStatus>,
     pub(crate) endpoints: Vec<EndpointStatus>,
     pub(crate) plan_phase: &'static str,
     pub(crate) plan: Option<Box<PlanStatus>>,
 }
 
-/// What the administration API shows of the roster.
+/// Status of the roster, as returned by the administration API.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct RosterStatus {
     pub(crate) stage: Box<str>,
@@ -29,9 +29,9 @@
     pub(crate) share: u32,
 }
 
-/// What the administration API shows of one account on this VM.
+/// Status of one client account on this VM, as returned by the administration API.
 #[derive(Debug, Clone, Serialize)]
-pub(crate) struct AccountLine {
+pub(crate) struct AccountStatus {
     pub(crate) account: Box<str>,
     pub(crate) home: Box<str>,
     pub(crate) level: Box<str>,
@@ -41,7 +41,7 @@
     pub(crate) waiting: usize,
 }
 
-/// What the administration API shows of one endpoint.
+/// Status of one endpoint, as returned by the administration API.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct EndpointStatus {
     pub(crate) endpoint: Box<str>,
@@ -72,7 +72,7 @@
 
 impl NodeTask {
     pub(super) fn status(&mut self) -> NodeStatus {
-        let accounts = self.account_lines();
+        let accounts = self.account_statuses();
         let endpoints = self.state.routes.endpoints.iter();
         NodeStatus {
             running_requests: self.state.requests.len(),
@@ -90,7 +90,7 @@
         let roster = &self.state.roster;
         let table = roster.own_table();
         let usable = roster.announced();
-        let now = self.edges.clock.now();
+        let now = self.io.clock.now();
         let name = |vm: &VmId| -> Box<str> { vm.as_str().into() };
         RosterStatus {
             stage: format!("{:?}", roster.stage()).into(),
@@ -105,17 +105,17 @@
         }
     }
 
-    fn account_lines(&mut self) -> Vec<AccountLine> {
-        let snapshot = self.edges.in_force.snapshot();
-        let now = self.edges.clock.now();
+    fn account_statuses(&mut self) -> Vec<AccountStatus> {
+        let snapshot = self.io.active_configuration.snapshot();
+        let now = self.io.clock.now();
         let accounts = snapshot.configuration.accounts.keys();
         accounts
             .filter_map(|account| {
                 let status = self.state.limit.account_status(account, now)?;
-                let home = self.state.limit.owner(account);
-                Some(AccountLine {
+                let owner = self.state.limit.owner(account);
+                Some(AccountStatus {
                     account: account.as_str().into(),
-                    home: home.map_or_else(Box::default, |vm| vm.as_str().into()),
+                    home: owner.map_or_else(Box::default, |vm| vm.as_str().into()),
                     level: status.level.to_string().into(),
                     rate: status.rate.to_string().into(),
                     capacity: status.capacity.to_string().into(),
--- a/crates/clementinepond_daemon/src/peer/edge.rs
+++ b/crates/clementinepond_daemon/src/peer/sender.rs
@@ -1,4 +1,4 @@
-//! Sending to other VMs.
+//! Sender of messages to other VMs.
 
 use super::envelope::{FrameKey, PeerEnvelope};
 use crate::telemetry::MetricSet;
@@ -9,17 +9,17 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Messages that wait for a connection to one VM.
+/// Number of messages buffered per VM while its connection is busy or not yet open.
 const SEND_BUFFER: i32 = 128;
 
-/// A socket that pushes to one address.
+/// Socket that sends to one address.
 struct PeerSocket {
     address: Box<str>,
     socket: Socket,
 }
 
-/// Sockets to the VMs that this VM talks to.
-pub(crate) struct PeerEdge {
+/// Sockets to the VMs that this VM sends messages to.
+pub(crate) struct PeerSender {
     own: VmId,
     key: FrameKey,
     metrics: Arc<MetricSet>,
@@ -27,7 +27,7 @@
     by_address: HashMap<Box<str>, Socket>,
 }
 
-impl PeerEdge {
+impl PeerSender {
     pub(crate) fn new(own: VmId, secret: &str, metrics: Arc<MetricSet>) -> Self {
         Self {
             own,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Remembers the address of a VM and connects to it.
-    pub(crate) fn learn(&mut self, vm: VmId, address: Box<str>) {
+    /// Opens a socket to the address of a VM, unless one to this address exists.
+    pub(crate) fn connect(&mut self, vm: VmId, address: Box<str>) {
         let is_known = self
             .by_vm
             .get(&vm)
@@ -47,7 +47,7 @@
         if is_known || vm == self.own {
             return;
         }
-        match open(&address) {
+        match open_socket(&address) {
             Ok(socket) => {
                 log::info!("event=peer_learned peer={vm} address={address}");
                 self.by_vm.insert(vm, PeerSocket { address, socket });
@@ -66,10 +66,10 @@
         self.push(&peer.socket, Some(to), message);
     }
 
-    /// Sends to an address from the settings.
+    /// Sends a message to an address whose VM is unknown.
     pub(crate) fn send_address(&mut self, address: Box<str>, message: PeerMessage) {
         if !self.by_address.contains_key(&address) {
-            match open(&address) {
+            match open_socket(&address) {
                 Ok(socket) => {
                     self.by_address.insert(address.clone(), socket);
                 }
@@ -91,9 +91,9 @@
         };
         match self.key.seal(&envelope) {
             Ok(frame) => {
-                self.metrics.note_peer_sent(frame.len());
+                self.metrics.record_peer_sent(frame.len());
                 if socket.try_send(frame.as_slice()).is_err() {
-                    self.metrics.note_peer_dropped();
+                    self.metrics.record_peer_dropped();
                 }
             }
             Err(error) => log::error!("event=message_dropped error=\"{error}\""),
@@ -101,7 +101,7 @@
     }
 }
 
-fn open(address: &str) -> Result<Socket, nng::Error> {
+fn open_socket(address: &str) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Push0)?;
     socket.set_opt::<SendBufferSize>(SEND_BUFFER)?;
     socket.dial_async(&format!("tcp://{address}"))?;
--- a/crates/clementinepond_decide/src/node/state.rs
+++ b/crates/clementinepond_decide/src/node/state.rs
@@ -1,4 +1,4 @@
-//! Everything that a VM remembers.
+//! State of the node reducer.
 
 use super::{DemandTable, NodeSettings};
 use crate::claim::ClaimState;
@@ -14,7 +14,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A dispatch that waits for the crash guard.
+/// Attempt that waits for permission from the crash guard.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRun {
     pub(super) ticket: RequestTicket,
@@ -24,55 +24,56 @@
     pub(super) deadline: LocalTime,
 }
 
-/// The moment at which grants on stopped parts have lapsed.
+/// Change of the usable parts, and the time at which all grants on the removed parts have
+/// expired.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PartsStop {
     pub(super) change: u64,
     pub(super) deadline: LocalTime,
 }
 
-/// Everything that a VM remembers.
+/// State of the node reducer.
 #[derive(Debug)]
 pub struct NodeState {
-    /// Name of the VM.
+    /// Name of this VM.
     pub vm: VmId,
-    /// Data centre of the VM.
+    /// Data centre where this VM runs.
     pub data_centre: DataCentreId,
-    /// Requests that run.
+    /// Requests that have not ended.
     pub requests: RequestTable,
-    /// Endpoints.
+    /// Endpoints and their load.
     pub routes: RouteTable,
-    /// The roster.
+    /// State of the roster.
     pub roster: RosterState,
-    /// The configuration.
+    /// State of the configuration.
     pub configuration: ConfigurationState,
-    /// Limits.
+    /// State of the rate limits.
     pub limit: LimitState,
-    /// Claims.
+    /// State of the claims.
     pub claim: ClaimState,
-    /// The crash guard.
+    /// State of the crash guard.
     pub crash: CrashState,
-    /// Placement.
+    /// State of placement.
     pub plan: PlanState,
-    /// Demand for models.
+    /// Demand for models at this VM and, at the lease holder, of the data centre.
     pub demand: DemandTable,
     pub(super) limit_settings: LimitSettings,
-    pub(super) usable: Option<UsableParts>,
-    pub(super) view: Option<RosterView>,
-    pub(super) stop: Option<PartsStop>,
-    pub(super) is_released: bool,
+    pub(super) usable_parts: Option<UsableParts>,
+    pub(super) limit_view: Option<RosterView>,
+    pub(super) parts_stop: Option<PartsStop>,
+    pub(super) is_limit_released: bool,
     pub(super) expects_share: bool,
-    pub(super) epochs: BTreeMap<DataCentreId, Epoch>,
-    pub(super) runs: BTreeMap<CrashTicket, PendingRun>,
-    pub(super) run_of: BTreeMap<RequestTicket, CrashTicket>,
+    pub(super) known_epochs: BTreeMap<DataCentreId, Epoch>,
+    pub(super) pending_runs: BTreeMap<CrashTicket, PendingRun>,
+    pub(super) crash_tickets: BTreeMap<RequestTicket, CrashTicket>,
     pub(super) next_run: u64,
-    pub(super) lost: BTreeSet<EndpointId>,
-    pub(super) listed: BTreeSet<EndpointId>,
-    pub(super) slow_tick: LocalTime,
+    pub(super) unreachable: BTreeSet<EndpointId>,
+    pub(super) listed_engines: BTreeSet<EndpointId>,
+    pub(super) next_slow_tick: LocalTime,
 }
 
 impl NodeState {
-    /// Starts without any knowledge.
+    /// Creates the state of a VM that has just started.
     #[must_use]
     pub fn new(settings: NodeSettings, now: LocalTime) -> Self {
         let identity = settings.identity();
@@ -91,35 +92,35 @@
             plan: PlanState::new(settings.plan, vm.clone(), data_centre.clone()),
             demand: DemandTable::default(),
             limit_settings: settings.limit,
-            usable: None,
-            view: None,
-            stop: None,
-            is_released: false,
+            usable_parts: None,
+            limit_view: None,
+            parts_stop: None,
+            is_limit_released: false,
             expects_share: true,
-            epochs: BTreeMap::new(),
-            runs: BTreeMap::new(),
-            run_of: BTreeMap::new(),
+            known_epochs: BTreeMap::new(),
+            pending_runs: BTreeMap::new(),
+            crash_tickets: BTreeMap::new(),
             next_run: 0,
-            lost: BTreeSet::new(),
-            listed: BTreeSet::new(),
-            slow_tick: now,
+            unreachable: BTreeSet::new(),
+            listed_engines: BTreeSet::new(),
+            next_slow_tick: now,
             vm,
             data_centre,
         }
     }
 
-    /// Returns whether callers may be sent to this VM.
+    /// Returns whether the load balancer may send callers to this VM.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let has_share = self
-            .view
+            .limit_view
             .as_ref()
             .is_some_and(|view| view.share > PartCount::new(0) || !self.expects_share);
         has_share && self.limit.is_ready()
     }
 
-    /// Returns how long grants on this VM's parts may live.
-    pub(super) fn longest_grant(&self) -> TimeSpan {
+    /// Returns the longest time for which a grant on this VM's parts may be valid.
+    pub(super) fn longest_grant_lifetime(&self) -> TimeSpan {
         let members = self
             .roster
             .own_table()
