--- a/crates/clementinepond_entry/src/caller/gate.rs
+++ b/crates/clementinepond_entry/src/caller/admission.rs
@@ -1,6 +1,6 @@
 //! Checks before a request is sent anywhere.
 
-use super::refusal::OwnAnswer;
+use super::local_answer::LocalAnswer;
 use crate::clock::BootClock;
 use crate::endpoint::OutgoingRequest;
 use crate::node::EntryNode;
@@ -21,9 +21,9 @@
 use std::rc::Rc;
 
 /// Time after which a caller may come back when the VM has just started.
-const STARTING_RETRY: TimeSpan = TimeSpan::from_millis(700);
+const STARTING_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(700);
 /// Largest part of a caller's time for which it is asked to stay away.
-const RETRY_PARTS: (u64, u64) = (1, 4);
+const RETRY_DELAY_FRACTION: (u64, u64) = (1, 4);
 
 /// A request that may be sent.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
         self.table.service(&self.service)?.engine.as_ref()
     }
 
-    pub(crate) fn may_repeat(&self) -> bool {
+    pub(crate) fn may_retry(&self) -> bool {
         self.route.retry_rule.may_retry()
     }
 
@@ -59,7 +59,7 @@
 
     /// Returns the moment at which a caller leaves that has got nothing since
     /// `silent_since`.
-    pub(crate) fn patience_end(&self, silent_since: LocalTime) -> LocalTime {
+    pub(crate) fn wait_deadline(&self, silent_since: LocalTime) -> LocalTime {
         if self.is_stream() {
             self.deadline
                 .min(silent_since + stream_stall_timeout(&self.route))
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Shortens a span to what a caller can wait before it comes back.
-    pub(crate) fn bounded_retry(&self, span: TimeSpan) -> TimeSpan {
+    /// Shortens a delay to what a caller can wait before it comes back.
+    pub(crate) fn bounded_retry_delay(&self, delay: TimeSpan) -> TimeSpan {
         let left = BootClock::now().until(self.deadline);
-        span.min(left.fraction(RETRY_PARTS.0, RETRY_PARTS.1))
+        delay.min(left.fraction(RETRY_DELAY_FRACTION.0, RETRY_DELAY_FRACTION.1))
     }
 }
 
@@ -82,22 +82,25 @@
     body: Incoming,
     profile: RequestProfile,
     arrival: LocalTime,
-) -> Result<AdmittedRequest, OwnAnswer> {
+) -> Result<AdmittedRequest, LocalAnswer> {
     let Some(table) = node.table() else {
-        return Err(OwnAnswer::NotRun("no_configuration", STARTING_RETRY));
+        return Err(LocalAnswer::NotRun(
+            "no_configuration",
+            STARTING_RETRY_DELAY,
+        ));
     };
     let route = find_route(node, &table, &parts, arrival)?.clone();
     let account = check_key(node, &table, &route, &parts, arrival)?;
-    let patience = profile.timeout.unwrap_or(route.timeout);
-    let deadline = arrival + patience.min(route.timeout);
+    let timeout = profile.timeout.unwrap_or(route.timeout);
+    let deadline = arrival + timeout.min(route.timeout);
     let limits = &table.policy().limits;
     if body.size_hint().lower() > limits.body_bytes as u64 {
-        return Err(OwnAnswer::TooLarge);
+        return Err(LocalAnswer::TooLarge);
     }
     let limit = limits.body_bytes;
     let bytes = read_body(body, limit, arrival.until(deadline)).await?;
     let Some(service) = pick_service(&route, rand::rng().random_range(0..u32::MAX)).cloned() else {
-        return Err(OwnAnswer::NotRun("no_service", STARTING_RETRY));
+        return Err(LocalAnswer::NotRun("no_service", STARTING_RETRY_DELAY));
     };
     let cost = charge(node, &table, account.as_ref(), &profile)?;
     let fingerprint = fingerprint(&parts, account.as_ref(), &bytes);
@@ -131,18 +134,19 @@
     table: &'a RouteTable,
     parts: &Parts,
     now: LocalTime,
-) -> Result<&'a RoutePolicy, OwnAnswer> {
+) -> Result<&'a RoutePolicy, LocalAnswer> {
     let header = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let Some(host) = parts.uri.host().or(header) else {
-        return Err(OwnAnswer::BadRequest("host_missing"));
+        return Err(LocalAnswer::BadRequest("host_missing"));
     };
     match table.route(host, parts.uri.path()) {
         Some(route) => Ok(route),
         // A VM that cannot see the newest configuration does not know better.
-        None if !node.has_store(now) => {
-            Err(OwnAnswer::NotRun("configuration_stale", STARTING_RETRY))
-        }
-        None => Err(OwnAnswer::NoRoute),
+        None if !node.has_store(now) => Err(LocalAnswer::NotRun(
+            "configuration_stale",
+            STARTING_RETRY_DELAY,
+        )),
+        None => Err(LocalAnswer::NoRoute),
     }
 }
 
@@ -152,7 +156,7 @@
     route: &RoutePolicy,
     parts: &Parts,
     now: LocalTime,
-) -> Result<Option<AccountId>, OwnAnswer> {
+) -> Result<Option<AccountId>, LocalAnswer> {
     let digest = match read_key(&parts.headers) {
         KeyText::Present(digest) => Some(digest),
         KeyText::Absent => None,
@@ -160,14 +164,15 @@
     match table.check_key(route, digest.as_ref()) {
         KeyCheck::Account(id) => Ok(Some(id.clone())),
         KeyCheck::Open => Ok(None),
-        KeyCheck::Unknown if digest.is_some() && !node.has_store(now) => {
-            Err(OwnAnswer::NotRun("configuration_stale", STARTING_RETRY))
-        }
-        KeyCheck::Unknown => Err(OwnAnswer::BadKey),
+        KeyCheck::Unknown if digest.is_some() && !node.has_store(now) => Err(LocalAnswer::NotRun(
+            "configuration_stale",
+            STARTING_RETRY_DELAY,
+        )),
+        KeyCheck::Unknown => Err(LocalAnswer::BadKey),
     }
 }
 
-async fn read_body(body: Incoming, limit: usize, time: TimeSpan) -> Result<Bytes, OwnAnswer> {
+async fn read_body(body: Incoming, limit: usize, time: TimeSpan) -> Result<Bytes, LocalAnswer> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
@@ -175,10 +180,10 @@
     match tokio::time::timeout(time.duration(), reading).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(OwnAnswer::TooLarge)
+            Err(LocalAnswer::TooLarge)
         }
-        Ok(Err(_)) => Err(OwnAnswer::BadRequest("body_broken")),
-        Err(_) => Err(OwnAnswer::BadRequest("body_late")),
+        Ok(Err(_)) => Err(LocalAnswer::BadRequest("body_broken")),
+        Err(_) => Err(LocalAnswer::BadRequest("body_late")),
     }
 }
 
@@ -187,7 +192,7 @@
     table: &RouteTable,
     account: Option<&AccountId>,
     profile: &RequestProfile,
-) -> Result<f64, OwnAnswer> {
+) -> Result<f64, LocalAnswer> {
     let Some(policy) = account.and_then(|id| table.account(id)) else {
         return Ok(0.0);
     };
@@ -198,10 +203,10 @@
     let now = BootClock::now();
     let mut state = node.state.borrow_mut();
     let is_current = state.peers.is_usage_fresh(now);
-    match state.quotas.charge(policy, units, is_current, now) {
+    match state.limiter.charge(policy, units, is_current, now) {
         QuotaVerdict::Within => Ok(units),
         QuotaVerdict::Over { retry_after } => {
-            let level = state.quotas.level(&policy.id);
+            let level = state.limiter.level(&policy.id);
             log::info!(
                 "event=quota_refused request={} account={} units={units} level={level:.0} rate_per_s={} burst={} is_current={is_current} retry_ms={}",
                 profile.id.as_ref().map_or("-", |id| id.as_str()),
@@ -210,7 +215,7 @@
                 policy.burst,
                 retry_after.millis()
             );
-            Err(OwnAnswer::OverQuota(retry_after))
+            Err(LocalAnswer::OverQuota(retry_after))
         }
     }
 }
--- a/crates/clementinepond_entry/src/caller/answer_body.rs
+++ b/crates/clementinepond_entry/src/caller/answer_body.rs
@@ -12,16 +12,16 @@
 #[display("the endpoint's answer broke off")]
 pub(crate) struct BrokenAnswer;
 
-/// Body of an answer: whole, or relayed piece by piece.
+/// Body of an answer: complete, or relayed chunk by chunk.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     Relayed(mpsc::Receiver<Result<Bytes, BrokenAnswer>>),
 }
 
 impl AnswerBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 }
 
@@ -34,26 +34,26 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 let frame = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(frame.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Self::Relayed(pieces) => pieces
+            Self::Relayed(chunks) => chunks
                 .poll_recv(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Self::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Self::Relayed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Self::Relayed(_) => SizeHint::default(),
--- a/crates/clementinepond_entry/src/caller/connection.rs
+++ b/crates/clementinepond_entry/src/caller/connection.rs
@@ -18,7 +18,7 @@
 /// callers within the bound never see their connection closed.
 const IDLE_SLACK: Duration = Duration::from_secs(2);
 /// Pause after a failed accept, which means that descriptors ran out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Stages of a planned stop.
 #[derive(Debug, Clone)]
@@ -49,7 +49,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed error=\"{error}\"");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/clementinepond_entry/src/caller/crash_probe.rs
+++ b/crates/clementinepond_entry/src/caller/crash_probe.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// Longest time for telling a crashed endpoint from a lost connection.
-const CRASH_PROBE: TimeSpan = TimeSpan::from_millis(250);
+const CRASH_PROBE_TIMEOUT: TimeSpan = TimeSpan::from_millis(250);
 
 /// Holds a crash against a request when its endpoint went down with it.
 pub(crate) fn suspect_crash(node: &Rc<EntryNode>, fingerprint: u64, picked: &PickedEndpoint) {
@@ -16,7 +16,7 @@
     let address = picked.address;
     let id = picked.id.clone();
     tokio::task::spawn_local(async move {
-        let probe = open_connection(address, CRASH_PROBE).await;
+        let probe = open_connection(address, CRASH_PROBE_TIMEOUT).await;
         if !matches!(probe, Err(ConnectFailure::Refused)) {
             return;
         }
--- a/crates/clementinepond_entry/src/caller/relay.rs
+++ b/crates/clementinepond_entry/src/caller/endpoint_search.rs
@@ -1,8 +1,8 @@
 //! Finding an endpoint that answers.
 
+use super::admission::AdmittedRequest;
 use super::crash_probe::suspect_crash;
-use super::gate::AdmittedRequest;
-use super::refusal::OwnAnswer;
+use super::local_answer::LocalAnswer;
 use super::send_outcome::SendOutcome;
 use crate::clock::BootClock;
 use crate::endpoint::{Attempt, AttemptAnswer, AttemptFailure, ReuseRule, start_attempt};
@@ -17,42 +17,42 @@
 
 /// Time after which a caller may come back when no endpoint holds the model;
 /// about a load from disk.
-const NO_COPY_RETRY: TimeSpan = TimeSpan::from_millis(1_000);
+const NO_COPY_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(1_000);
 /// Time after which a caller may come back when an endpoint refused.
-const REFUSED_RETRY: TimeSpan = TimeSpan::from_millis(150);
+const REFUSED_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(150);
 /// Part of a caller's time within which a copy that is being loaded is awaited.
-const COPY_WAIT_PARTS: (u64, u64) = (1, 2);
+const COPY_WAIT_FRACTION: (u64, u64) = (1, 2);
 /// Time by which a load may be late.
-const COPY_PATIENCE: TimeSpan = TimeSpan::from_millis(600);
+const COPY_LATENESS_LIMIT: TimeSpan = TimeSpan::from_millis(600);
 /// Shortest wait for a copy.
-const COPY_CHECK: TimeSpan = TimeSpan::from_millis(20);
+const MIN_COPY_WAIT: TimeSpan = TimeSpan::from_millis(20);
 /// Largest number of endpoints tried that could not be reached.
-const UNREACHED_LIMIT: u32 = 4;
+const MAX_UNREACHABLE_ENDPOINTS: u32 = 4;
 /// Largest number of sends to an endpoint that is still loading the adapter.
-const ADAPTER_SENDS: u32 = 3;
+const MAX_ADAPTER_SENDS: u32 = 3;
 /// Pause before a request is sent again to an endpoint that loads its adapter.
-const ADAPTER_PAUSE: TimeSpan = TimeSpan::from_millis(12);
+const ADAPTER_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(12);
 /// Longest wait for an adapter.
-const ADAPTER_WAIT: TimeSpan = TimeSpan::from_millis(200);
+const ADAPTER_WAIT_TIMEOUT: TimeSpan = TimeSpan::from_millis(200);
 /// Largest number of endpoints at which an adapter is awaited.
-const ADAPTER_WAITS: u32 = 3;
+const MAX_ADAPTER_WAITS: u32 = 3;
 /// Silence of an endpoint after which a request that may be repeated goes to
 /// another one, in multiples of the expected time.
-const SILENCE_FACTOR: u64 = 5;
+const SILENCE_TIMEOUT_FACTOR: u64 = 5;
 /// Shortest silence that counts.
-const SILENCE_FLOOR: TimeSpan = TimeSpan::from_millis(400);
+const MIN_SILENCE_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
 /// Rank added for a request that will be late in any case.
-const LATE_RANK: u8 = 3;
+const LATE_RANK_PENALTY: u8 = 3;
 /// Rank added for a request whose objective leaves time.
-const DEFERRED_RANK: u8 = 2;
+const DEFERRED_RANK_PENALTY: u8 = 2;
 /// Objective from which a request counts as deferred.
-const DEFERRED_TARGET: TimeSpan = TimeSpan::from_millis(1_500);
+const DEFERRED_LATENCY_TARGET: TimeSpan = TimeSpan::from_millis(1_500);
 /// Rank of the most urgent requests; leaves room for more urgent ones.
-const FIRST_RANK: u8 = 2;
+const BASE_RANK: u8 = 2;
 
-/// An answer that has begun.
+/// An answer that has started.
 #[derive(Debug)]
-pub(crate) struct BegunAnswer {
+pub(crate) struct StartedAnswer {
     pub(crate) answer: AttemptAnswer,
     pub(crate) picked: PickedEndpoint,
     pub(crate) sent_at: LocalTime,
@@ -68,7 +68,7 @@
     sent: u32,
     /// Arrivals at endpoints, sends to the same one included.
     arrivals: u32,
-    unreached: u32,
+    unreachable: u32,
     adapter_waits: u32,
     may_have_run: bool,
     /// Moment since which the caller has got nothing.
@@ -85,7 +85,7 @@
             tried: Vec::new(),
             sent: 0,
             arrivals: 0,
-            unreached: 0,
+            unreachable: 0,
             adapter_waits: 0,
             may_have_run: false,
             silent_since: request.arrival,
@@ -99,14 +99,14 @@
     }
 
     /// Tells whether another endpoint may be asked, and pays for it.
-    pub(crate) fn take_repeat(&mut self) -> bool {
+    pub(crate) fn take_retry(&mut self) -> bool {
         if self.sent >= self.request.route.max_attempts {
             return false;
         }
-        self.pay_repeat()
+        self.spend_retry_budget()
     }
 
-    fn pay_repeat(&self) -> bool {
+    fn spend_retry_budget(&self) -> bool {
         let now = BootClock::now();
         let mut guard = self.node.state.borrow_mut();
         let state = &mut *guard;
@@ -117,32 +117,32 @@
             .is_some_and(|budget| budget.take_retry(vms, now));
         drop(guard);
         if paid {
-            increment(&self.node.stats.repeats);
+            increment(&self.node.stats.retries);
         }
         paid
     }
 
     /// Notes that an endpoint failed after the request was sent.
-    pub(crate) fn note_failed(&mut self, id: &EndpointId, outcome: EndpointOutcome) {
-        self.node.note_outcome(id, outcome);
+    pub(crate) fn record_failure(&mut self, id: &EndpointId, outcome: EndpointOutcome) {
+        self.node.record_outcome(id, outcome);
         self.tried.push(id.clone());
         self.may_have_run = true;
     }
 
     /// Returns the answer of the first endpoint that gives one.
-    pub(crate) async fn run(&mut self) -> Result<BegunAnswer, OwnAnswer> {
+    pub(crate) async fn run(&mut self) -> Result<StartedAnswer, LocalAnswer> {
         loop {
             let request = Rc::clone(&self.request);
             let now = BootClock::now();
             if now >= request.deadline {
-                return Err(self.give_up("deadline_passed", TimeSpan::ZERO));
+                return Err(self.abandon("deadline_passed", TimeSpan::ZERO));
             }
             let query = PickQuery {
                 service: &request.service,
                 profile: &request.profile,
                 account: request.account.as_ref(),
                 deadline: request.deadline,
-                first_token_by: request.patience_end(self.silent_since),
+                first_token_by: request.wait_deadline(self.silent_since),
                 tried: &self.tried,
             };
             let picked = match self.node.pick(&query, request.engine()) {
@@ -150,22 +150,25 @@
                 Err(RefusalCause::NoCopy) if self.await_copy().await => continue,
                 Err(cause) => return Err(self.refuse(cause)),
             };
-            if let Some(begun) = self.ask(picked).await? {
-                return Ok(begun);
+            if let Some(started) = self.try_endpoint(picked).await? {
+                return Ok(started);
             }
         }
     }
 
     /// Asks one endpoint; `None` means that another one may be asked.
-    async fn ask(&mut self, picked: PickedEndpoint) -> Result<Option<BegunAnswer>, OwnAnswer> {
+    async fn try_endpoint(
+        &mut self,
+        picked: PickedEndpoint,
+    ) -> Result<Option<StartedAnswer>, LocalAnswer> {
         self.sent += 1;
         let mut needs_adapter = picked.missing_adapter.is_some();
-        for _ in 0..ADAPTER_SENDS {
+        for _ in 0..MAX_ADAPTER_SENDS {
             if needs_adapter && !self.await_adapter(&picked).await {
-                return self.note_no_adapter(&picked);
+                return self.handle_adapter_timeout(&picked);
             }
             if let Some(target) = &self.request.profile.target {
-                self.node.note_adapter_use(&picked.id, target);
+                self.node.report_adapter_use(&picked.id, target);
             }
             let sent_at = BootClock::now();
             let outcome = self.send(&picked).await;
@@ -173,36 +176,37 @@
                 SendOutcome::Answered(answer) => {
                     let answer = *answer;
                     if !is_refusal(&answer) {
-                        return self.take_answer(answer, picked, sent_at);
+                        return self.accept_answer(answer, picked, sent_at);
                     }
                     self.arrivals += 1;
-                    if self.is_adapter_missing(&answer, &picked) && self.pay_repeat() {
-                        self.note_missing_adapter(&picked);
+                    if self.is_adapter_missing(&answer, &picked) && self.spend_retry_budget() {
+                        self.record_missing_adapter(&picked);
                         needs_adapter = true;
-                        tokio::time::sleep(ADAPTER_PAUSE.duration()).await;
+                        tokio::time::sleep(ADAPTER_RETRY_DELAY.duration()).await;
                         continue;
                     }
-                    return self.note_refusal(&answer, &picked);
+                    return self.handle_refusal(&answer, &picked);
                 }
                 SendOutcome::Failed(AttemptFailure::NotSent(failure)) => {
-                    return self.note_unreached(&picked, failure);
+                    return self.handle_unreachable(&picked, failure);
                 }
                 SendOutcome::Failed(_) | SendOutcome::Silent => {
-                    return self.note_lost(&picked, outcome);
+                    return self.handle_lost(&picked, outcome);
                 }
                 SendOutcome::TimedOut => {
-                    self.node.note_outcome(&picked.id, EndpointOutcome::Broken);
-                    return Err(OwnAnswer::TimedOut);
+                    self.node
+                        .record_outcome(&picked.id, EndpointOutcome::Broken);
+                    return Err(LocalAnswer::TimedOut);
                 }
             }
         }
-        Err(self.give_up("adapter_not_loaded", NO_COPY_RETRY))
+        Err(self.abandon("adapter_not_loaded", NO_COPY_RETRY_DELAY))
     }
 
     async fn send(&self, picked: &PickedEndpoint) -> SendOutcome {
         let request = &self.request;
-        let reuse = if request.may_repeat() {
-            ReuseRule::Repeatable
+        let reuse = if request.may_retry() {
+            ReuseRule::Retryable
         } else {
             ReuseRule::Once
         };
@@ -222,7 +226,7 @@
             reuse,
         };
         let left = BootClock::now().until(request.deadline);
-        let silence = self.silence_limit(picked, left);
+        let silence = self.silence_timeout(picked, left);
         let attempt = start_attempt(&self.node, attempt);
         match tokio::time::timeout(silence.unwrap_or(left).duration(), attempt).await {
             Ok(Ok(answer)) => SendOutcome::Answered(Box::new(answer)),
@@ -233,19 +237,25 @@
     }
 
     /// Returns the silence after which another endpoint is asked, if one may be.
-    fn silence_limit(&self, picked: &PickedEndpoint, left: TimeSpan) -> Option<TimeSpan> {
+    fn silence_timeout(&self, picked: &PickedEndpoint, left: TimeSpan) -> Option<TimeSpan> {
         let request = &self.request;
-        if !request.may_repeat() || self.sent >= request.route.max_attempts {
+        if !request.may_retry() || self.sent >= request.route.max_attempts {
             return None;
         }
         let expected = if request.engine().is_some() {
             picked.predicted
         } else {
             let state = self.node.state.borrow();
-            let millis = state.work_ms.get(&picked.id).copied().unwrap_or(60.0);
+            let millis = state
+                .service_times_ms
+                .get(&picked.id)
+                .copied()
+                .unwrap_or(60.0);
             TimeSpan::from_millis(millis as u64)
         };
-        let limit = expected.fraction(SILENCE_FACTOR, 1).max(SILENCE_FLOOR);
+        let limit = expected
+            .fraction(SILENCE_TIMEOUT_FACTOR, 1)
+            .max(MIN_SILENCE_TIMEOUT);
         (limit < left.fraction(3, 4)).then_some(limit)
     }
 
@@ -254,44 +264,49 @@
         let request = &self.request;
         let waited = BootClock::now().since(request.arrival);
         let is_late = waited + picked.predicted > request.route.latency_target;
-        let is_deferred = request.route.latency_target >= DEFERRED_TARGET;
-        FIRST_RANK
+        let is_deferred = request.route.latency_target >= DEFERRED_LATENCY_TARGET;
+        BASE_RANK
             + request.rank.min(2)
-            + if is_deferred { DEFERRED_RANK } else { 0 }
-            + if is_late { LATE_RANK } else { 0 }
+            + if is_deferred {
+                DEFERRED_RANK_PENALTY
+            } else {
+                0
+            }
+            + if is_late { LATE_RANK_PENALTY } else { 0 }
     }
 
-    fn take_answer(
+    fn accept_answer(
         &mut self,
         answer: AttemptAnswer,
         picked: PickedEndpoint,
         sent_at: LocalTime,
-    ) -> Result<Option<BegunAnswer>, OwnAnswer> {
+    ) -> Result<Option<StartedAnswer>, LocalAnswer> {
         self.arrivals += 1;
         if answer.response.status().is_server_error() {
-            self.node.note_outcome(&picked.id, EndpointOutcome::Failure);
-            if self.request.may_repeat() && self.take_repeat() {
+            self.node
+                .record_outcome(&picked.id, EndpointOutcome::Failure);
+            if self.request.may_retry() && self.take_retry() {
                 self.may_have_run = true;
                 self.tried.push(picked.id.clone());
                 return Ok(None);
             }
         }
-        Ok(Some(BegunAnswer {
+        Ok(Some(StartedAnswer {
             answer,
             picked,
             sent_at,
         }))
     }
 
-    fn note_refusal(
+    fn handle_refusal(
         &mut self,
         answer: &AttemptAnswer,
         picked: &PickedEndpoint,
-    ) -> Result<Option<BegunAnswer>, OwnAnswer> {
+    ) -> Result<Option<StartedAnswer>, LocalAnswer> {
         let status = answer.response.status();
-        let is_stranger = status == StatusCode::MISDIRECTED_REQUEST
+        let is_other_instance = status == StatusCode::MISDIRECTED_REQUEST
             && answer.mark.instance.as_deref() != Some(picked.id.as_str());
-        let outcome = if is_stranger {
+        let outcome = if is_other_instance {
             EndpointOutcome::Unreachable
         } else {
             EndpointOutcome::Refusal
@@ -304,51 +319,51 @@
             answer.mark.load
         );
         if let (false, StatusCode::MISDIRECTED_REQUEST, Some(target)) =
-            (is_stranger, status, &self.request.profile.target)
+            (is_other_instance, status, &self.request.profile.target)
         {
             let endpoint = NameHash::of(picked.id.as_str());
             let model = NameHash::of(target.model.as_str());
             let now = BootClock::now();
             let mut state = self.node.state.borrow_mut();
-            state.placement.note_absent(endpoint, model, now);
+            state.placement.record_absent(endpoint, model, now);
         } else {
-            self.node.note_outcome(&picked.id, outcome);
+            self.node.record_outcome(&picked.id, outcome);
         }
         self.tried.push(picked.id.clone());
-        if self.take_repeat() {
+        if self.take_retry() {
             return Ok(None);
         }
-        Err(self.give_up("endpoint_refused", REFUSED_RETRY))
+        Err(self.abandon("endpoint_refused", REFUSED_RETRY_DELAY))
     }
 
-    fn note_unreached(
+    fn handle_unreachable(
         &mut self,
         picked: &PickedEndpoint,
         failure: ConnectFailure,
-    ) -> Result<Option<BegunAnswer>, OwnAnswer> {
+    ) -> Result<Option<StartedAnswer>, LocalAnswer> {
         log::info!(
             "event=attempt_unsent request={} endpoint={} reason=\"{failure}\"",
             self.request_id(),
             picked.id
         );
         self.node
-            .note_outcome(&picked.id, EndpointOutcome::Unreachable);
+            .record_outcome(&picked.id, EndpointOutcome::Unreachable);
         self.node.pool.forget(&picked.id);
         self.tried.push(picked.id.clone());
         // Nothing arrived, so neither the attempts nor the budget are used.
         self.sent -= 1;
-        self.unreached += 1;
-        if self.unreached >= UNREACHED_LIMIT {
-            return Err(self.give_up("endpoints_unreachable", NO_COPY_RETRY));
+        self.unreachable += 1;
+        if self.unreachable >= MAX_UNREACHABLE_ENDPOINTS {
+            return Err(self.abandon("endpoints_unreachable", NO_COPY_RETRY_DELAY));
         }
         Ok(None)
     }
 
-    fn note_lost(
+    fn handle_lost(
         &mut self,
         picked: &PickedEndpoint,
         outcome: SendOutcome,
-    ) -> Result<Option<BegunAnswer>, OwnAnswer> {
+    ) -> Result<Option<StartedAnswer>, LocalAnswer> {
         self.arrivals += 1;
         log::info!(
             "event=attempt_lost request={} endpoint={} outcome={} sent={}",
@@ -357,14 +372,14 @@
             outcome.name(),
             self.sent
         );
-        self.note_failed(&picked.id, EndpointOutcome::Broken);
+        self.record_failure(&picked.id, EndpointOutcome::Broken);
         if matches!(outcome, SendOutcome::Failed(AttemptFailure::Broken)) {
             suspect_crash(&self.node, self.request.fingerprint, picked);
         }
-        if self.request.may_repeat() && self.take_repeat() {
+        if self.request.may_retry() && self.take_retry() {
             return Ok(None);
         }
-        Err(OwnAnswer::Lost("answer_lost"))
+        Err(LocalAnswer::Lost("answer_lost"))
     }
 
     fn is_adapter_missing(&self, answer: &AttemptAnswer, picked: &PickedEndpoint) -> bool {
@@ -389,22 +404,26 @@
         has_adapter && is_same && (is_loading || status == StatusCode::MISDIRECTED_REQUEST)
     }
 
-    fn note_missing_adapter(&self, picked: &PickedEndpoint) {
-        if let Some(place) = self
+    fn record_missing_adapter(&self, picked: &PickedEndpoint) {
+        if let Some(location) = self
             .node
-            .adapter_place(&picked.id, self.request.profile.target.as_ref())
+            .adapter_location(&picked.id, self.request.profile.target.as_ref())
         {
-            self.node.state.borrow_mut().placement.note_missing(&place);
+            self.node
+                .state
+                .borrow_mut()
+                .placement
+                .record_missing(&location);
         }
     }
 
-    /// Asks the holder of the placement duty for the adapter and waits for it.
+    /// Asks the holder of the placement placement_lease for the adapter and waits for it.
     async fn await_adapter(&self, picked: &PickedEndpoint) -> bool {
         let Some(target) = self.request.profile.target.as_ref() else {
             return false;
         };
         let left = BootClock::now().until(self.request.deadline);
-        let limit = ADAPTER_WAIT.min(left.fraction(1, 2));
+        let limit = ADAPTER_WAIT_TIMEOUT.min(left.fraction(1, 2));
         self.node.await_adapter(&picked.id, target, limit).await
     }
 
@@ -417,25 +436,26 @@
         let model = NameHash::of(target.model.as_str());
         let now = BootClock::now();
         let left = now.until(self.request.deadline);
-        let half = now + left.fraction(COPY_WAIT_PARTS.0, COPY_WAIT_PARTS.1);
-        let latest = half.min(self.request.patience_end(self.silent_since));
+        let half = now + left.fraction(COPY_WAIT_FRACTION.0, COPY_WAIT_FRACTION.1);
+        let latest = half.min(self.request.wait_deadline(self.silent_since));
         let mut changed = std::pin::pin!(self.node.placement_changed.notified());
         changed.as_mut().enable();
         let expected = self.node.state.borrow().placement.expected_at(model);
-        let Some(expected) = expected.filter(|at| *at < latest && now < *at + COPY_PATIENCE) else {
+        let Some(expected) = expected.filter(|at| *at < latest && now < *at + COPY_LATENESS_LIMIT)
+        else {
             return false;
         };
-        let limit = now.until(expected + COPY_PATIENCE).max(COPY_CHECK);
+        let limit = now.until(expected + COPY_LATENESS_LIMIT).max(MIN_COPY_WAIT);
         // Whatever changed, the next choice sees it.
         let _ = tokio::time::timeout(limit.duration(), changed).await;
         true
     }
 
     /// Leaves an endpoint that did not get the adapter in time.
-    fn note_no_adapter(
+    fn handle_adapter_timeout(
         &mut self,
         picked: &PickedEndpoint,
-    ) -> Result<Option<BegunAnswer>, OwnAnswer> {
+    ) -> Result<Option<StartedAnswer>, LocalAnswer> {
         log::info!(
             "event=adapter_missed request={} endpoint={} waits={}",
             self.request_id(),
@@ -445,27 +465,27 @@
         self.tried.push(picked.id.clone());
         self.sent -= 1;
         self.adapter_waits += 1;
-        if self.adapter_waits >= ADAPTER_WAITS {
-            return Err(self.give_up("adapter_not_loaded", NO_COPY_RETRY));
+        if self.adapter_waits >= MAX_ADAPTER_WAITS {
+            return Err(self.abandon("adapter_not_loaded", NO_COPY_RETRY_DELAY));
         }
         Ok(None)
     }
 
-    fn refuse(&self, cause: RefusalCause) -> OwnAnswer {
+    fn refuse(&self, cause: RefusalCause) -> LocalAnswer {
         match cause {
-            RefusalCause::NoEndpoint => self.give_up("no_endpoint", NO_COPY_RETRY),
-            RefusalCause::NoAdapter => self.give_up("no_placement_duty", NO_COPY_RETRY),
-            RefusalCause::NoCopy => self.give_up("no_copy", NO_COPY_RETRY),
-            RefusalCause::Crowded(span) => self.give_up("crowded", span),
+            RefusalCause::NoEndpoint => self.abandon("no_endpoint", NO_COPY_RETRY_DELAY),
+            RefusalCause::NoAdapter => self.abandon("no_placement_duty", NO_COPY_RETRY_DELAY),
+            RefusalCause::NoCopy => self.abandon("no_copy", NO_COPY_RETRY_DELAY),
+            RefusalCause::Overloaded(retry_after) => self.abandon("crowded", retry_after),
         }
     }
 
     /// Returns the final answer of a request that no endpoint will answer.
-    fn give_up(&self, reason: &'static str, retry_after: TimeSpan) -> OwnAnswer {
+    fn abandon(&self, reason: &'static str, retry_after: TimeSpan) -> LocalAnswer {
         if self.may_have_run {
-            return OwnAnswer::Lost(reason);
+            return LocalAnswer::Lost(reason);
         }
-        OwnAnswer::NotRun(reason, self.request.bounded_retry(retry_after))
+        LocalAnswer::NotRun(reason, self.request.bounded_retry_delay(retry_after))
     }
 
     fn request_id(&self) -> &str {
--- a/crates/clementinepond_entry/src/caller/event_reader.rs
+++ b/crates/clementinepond_entry/src/caller/event_reader.rs
@@ -19,8 +19,8 @@
 
 impl EventReader {
     /// Takes bytes; returns whole events, if there are any.
-    pub(super) fn push(&mut self, piece: &[u8]) -> Option<Bytes> {
-        self.pending.extend_from_slice(piece);
+    pub(super) fn push(&mut self, chunk: &[u8]) -> Option<Bytes> {
+        self.pending.extend_from_slice(chunk);
         let mut end = 0;
         while let Some(length) = event_length(&self.pending[end..], self.scanned) {
             if let Some(id) = event_id(&self.pending[end..end + length]) {
@@ -39,7 +39,7 @@
     }
 
     /// Returns the bytes left at the end of the stream.
-    pub(super) fn rest(&mut self) -> Bytes {
+    pub(super) fn take_remaining(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
--- a/crates/clementinepond_entry/src/caller/refusal.rs
+++ b/crates/clementinepond_entry/src/caller/local_answer.rs
@@ -8,7 +8,7 @@
 
 /// Why the system answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OwnAnswer {
+pub(crate) enum LocalAnswer {
     /// No route leads there.
     NoRoute,
     /// The key is missing or unknown.
@@ -27,7 +27,7 @@
     TimedOut,
 }
 
-impl OwnAnswer {
+impl LocalAnswer {
     pub(crate) const fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -65,7 +65,7 @@
 
     const fn retry_after(self) -> Option<TimeSpan> {
         match self {
-            Self::OverQuota(span) | Self::NotRun(_, span) => Some(span),
+            Self::OverQuota(delay) | Self::NotRun(_, delay) => Some(delay),
             _ => None,
         }
     }
@@ -77,7 +77,7 @@
             self.reason(),
             self.remedy()
         );
-        let mut response = Response::new(AnswerBody::whole(body));
+        let mut response = Response::new(AnswerBody::complete(body));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/clementinepond_entry/src/caller/mod.rs
+++ b/crates/clementinepond_entry/src/caller/mod.rs
@@ -1,13 +1,13 @@
 //! Callers: connections, requests, answers.
 
+mod admission;
 mod answer_body;
 mod connection;
 mod crash_probe;
+mod endpoint_search;
 mod event_reader;
-mod gate;
+mod local_answer;
 mod readiness;
-mod refusal;
-mod relay;
 mod request_end;
 mod send_outcome;
 mod serve_request;
--- a/crates/clementinepond_entry/src/caller/readiness.rs
+++ b/crates/clementinepond_entry/src/caller/readiness.rs
@@ -65,7 +65,7 @@
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
                 let (status, text) = answer(&node, request.uri().path());
-                let mut response = Response::new(AnswerBody::whole(text));
+                let mut response = Response::new(AnswerBody::complete(text));
                 *response.status_mut() = status;
                 std::future::ready(Ok::<_, Infallible>(response))
             });
@@ -84,7 +84,7 @@
         ("requests_answered_total", &stats.answered),
         ("requests_failed_total", &stats.failed),
         ("requests_refused_total", &stats.refused),
-        ("requests_repeated_total", &stats.repeats),
+        ("requests_repeated_total", &stats.retries),
         ("callers_left_total", &stats.caller_left),
         ("store_calls_total", &stats.store_calls),
         ("orders_total", &stats.orders),
--- a/crates/clementinepond_entry/src/caller/request_end.rs
+++ b/crates/clementinepond_entry/src/caller/request_end.rs
@@ -1,6 +1,6 @@
 //! The log line at the end of a request that reached an endpoint.
 
-use super::gate::AdmittedRequest;
+use super::admission::AdmittedRequest;
 use crate::clock::BootClock;
 use crate::node::{EntryNode, increment};
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan};
@@ -15,7 +15,7 @@
     pub(super) sent_at: LocalTime,
     /// Endpoints that the request was sent to.
     pub(super) sent: u32,
-    pub(super) pace: Option<StreamPace>,
+    pub(super) timing: Option<StreamTiming>,
 }
 
 /// Predicted and measured times of one stream.
@@ -23,21 +23,21 @@
 #[display(
     "predicted_ms={} first_ms={} pause_ms={}",
     predicted.millis(),
-    first_piece.map_or(-1, |span| i64::try_from(span.millis()).unwrap_or(i64::MAX)),
+    first_chunk.map_or(-1, |first_chunk| i64::try_from(first_chunk.millis()).unwrap_or(i64::MAX)),
     longest_pause.millis()
 )]
-pub(super) struct StreamPace {
+pub(super) struct StreamTiming {
     /// Time to the first token that the choice of the engine predicted.
     pub(super) predicted: TimeSpan,
     /// Time from the sending to the first piece.
-    pub(super) first_piece: Option<TimeSpan>,
+    pub(super) first_chunk: Option<TimeSpan>,
     /// Longest time between two pieces.
     pub(super) longest_pause: TimeSpan,
 }
 
 impl RequestEnd<'_> {
     /// Counts and logs the end.
-    pub(super) fn note(&self, node: &EntryNode, request: &AdmittedRequest) {
+    pub(super) fn record(&self, node: &EntryNode, request: &AdmittedRequest) {
         let counter = if self.outcome == "answered" && self.status < 500 {
             &node.stats.answered
         } else {
@@ -58,8 +58,8 @@
             self.status,
             self.sent,
             self.sent_at.since(request.arrival).millis(),
-            self.pace
-                .map_or_else(String::new, |pace| format!(" {pace}")),
+            self.timing
+                .map_or_else(String::new, |timing| format!(" {timing}")),
             now.since(request.arrival).millis(),
             request.table.policy().version,
         );
--- a/crates/clementinepond_entry/src/caller/serve_request.rs
+++ b/crates/clementinepond_entry/src/caller/serve_request.rs
@@ -1,8 +1,8 @@
 //! One request of a caller, from its head to its answer.
 
+use super::admission::{AdmittedRequest, admit};
 use super::answer_body::AnswerBody;
-use super::gate::{AdmittedRequest, admit};
-use super::refusal::OwnAnswer;
+use super::local_answer::LocalAnswer;
 use super::{stream, unary};
 use crate::clock::BootClock;
 use crate::node::{EntryNode, increment};
@@ -20,13 +20,13 @@
 
 /// Part of a stop's grace within which streams are still begun; the longest
 /// of them end within the rest.
-const STREAM_START_PARTS: (u64, u64) = (1, 3);
+const STREAM_START_FRACTION: (u64, u64) = (1, 3);
 /// Time that nearly every answer that is no stream takes.
-const UNARY_TIME: TimeSpan = TimeSpan::from_millis(1_500);
-/// Time left between the last answer and the end of a stopping process.
+const UNARY_TYPICAL_DURATION: TimeSpan = TimeSpan::from_millis(1_500);
+/// Time caller_left_guard between the last answer and the end of a stopping process.
 const EXIT_MARGIN: TimeSpan = TimeSpan::from_millis(400);
 /// Time after which a caller may come back to another VM.
-const STOPPING_RETRY: TimeSpan = TimeSpan::from_millis(20);
+const STOPPING_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(20);
 
 /// Answers one request.
 pub(crate) async fn serve_request(
@@ -38,7 +38,7 @@
     let profile = read_request(&parts.headers);
     let id = profile.id.clone();
     let model = profile.target.as_ref().map(|target| target.model.clone());
-    let mut left = LeaveNote {
+    let mut caller_left_guard = CallerLeftGuard {
         node: Rc::clone(&node),
         id: id.clone(),
         arrival,
@@ -49,10 +49,10 @@
         Ok(request) => serve_admitted(&node, request).await,
         Err(answer) => Err(answer),
     };
-    left.is_answered = true;
+    caller_left_guard.is_answered = true;
     let mut response = match answered {
         Ok(response) => response,
-        Err(answer) => own_answer(&node, answer, id.as_ref(), model.as_ref(), arrival),
+        Err(answer) => local_answer(&node, answer, id.as_ref(), model.as_ref(), arrival),
     };
     if node.stopping_since.get().is_some() {
         let headers = response.headers_mut();
@@ -64,16 +64,16 @@
 async fn serve_admitted(
     node: &Rc<EntryNode>,
     request: AdmittedRequest,
-) -> Result<Response<AnswerBody>, OwnAnswer> {
+) -> Result<Response<AnswerBody>, LocalAnswer> {
     if request.profile.id.is_none() {
         refund(node, &request);
-        return Err(OwnAnswer::BadRequest("attempt_id_missing"));
+        return Err(LocalAnswer::BadRequest("attempt_id_missing"));
     }
     if is_too_late_to_start(node, &request) {
         refund(node, &request);
-        return Err(OwnAnswer::NotRun("stopping", STOPPING_RETRY));
+        return Err(LocalAnswer::NotRun("stopping", STOPPING_RETRY_DELAY));
     }
-    note_request(node, &request);
+    record_request(node, &request);
     let now = BootClock::now();
     if node
         .state
@@ -82,7 +82,7 @@
         .is_blocked(request.fingerprint, now)
     {
         refund(node, &request);
-        return Err(OwnAnswer::NotRun(
+        return Err(LocalAnswer::NotRun(
             "crashed_endpoints",
             TimeSpan::from_secs(30),
         ));
@@ -93,7 +93,7 @@
     } else {
         unary::serve(node, &request).await
     };
-    if let Err(OwnAnswer::NotRun(..)) = answered {
+    if let Err(LocalAnswer::NotRun(..)) = answered {
         refund(node, &request);
     }
     answered
@@ -107,20 +107,23 @@
     let grace = node.settings().shutdown.grace();
     let now = BootClock::now();
     if request.is_stream() {
-        now.since(since) > grace.fraction(STREAM_START_PARTS.0, STREAM_START_PARTS.1)
+        now.since(since) > grace.fraction(STREAM_START_FRACTION.0, STREAM_START_FRACTION.1)
     } else {
-        now + request.route.timeout.min(UNARY_TIME) + EXIT_MARGIN > since + grace
+        now + request.route.timeout.min(UNARY_TYPICAL_DURATION) + EXIT_MARGIN > since + grace
     }
 }
 
 fn refund(node: &EntryNode, request: &AdmittedRequest) {
     if let Some(account) = &request.account {
-        node.state.borrow_mut().quotas.refund(account, request.cost);
+        node.state
+            .borrow_mut()
+            .limiter
+            .refund(account, request.cost);
     }
 }
 
 /// Counts a request in the retry budget and in the demand for its model.
-fn note_request(node: &EntryNode, request: &AdmittedRequest) {
+fn record_request(node: &EntryNode, request: &AdmittedRequest) {
     let now = BootClock::now();
     let retry = node.settings().retry.clone();
     let mut state = node.state.borrow_mut();
@@ -143,15 +146,15 @@
     }
 }
 
-fn own_answer(
+fn local_answer(
     node: &EntryNode,
-    answer: OwnAnswer,
+    answer: LocalAnswer,
     id: Option<&RequestId>,
     model: Option<&ModelId>,
     arrival: LocalTime,
 ) -> Response<AnswerBody> {
     let counter = match answer {
-        OwnAnswer::Lost(_) | OwnAnswer::TimedOut => &node.stats.failed,
+        LocalAnswer::Lost(_) | LocalAnswer::TimedOut => &node.stats.failed,
         _ => &node.stats.refused,
     };
     increment(counter);
@@ -167,15 +170,15 @@
     answer.response(id)
 }
 
-/// Notes a caller that left before its answer began.
-struct LeaveNote {
+/// Notes a caller that caller_left_guard before its answer began.
+struct CallerLeftGuard {
     node: Rc<EntryNode>,
     id: Option<RequestId>,
     arrival: LocalTime,
     is_answered: bool,
 }
 
-impl Drop for LeaveNote {
+impl Drop for CallerLeftGuard {
     fn drop(&mut self) {
         if self.is_answered {
             return;
--- a/crates/clementinepond_entry/src/caller/stream.rs
+++ b/crates/clementinepond_entry/src/caller/stream.rs
@@ -1,13 +1,13 @@
 //! Streams, passed on as they arrive.
 
+use super::admission::{AdmittedRequest, is_resumable};
 use super::answer_body::{AnswerBody, BrokenAnswer};
 use super::crash_probe::suspect_crash;
+use super::endpoint_search::{EndpointSearch, StartedAnswer};
 use super::event_reader::EventReader;
-use super::gate::{AdmittedRequest, is_resumable};
-use super::refusal::OwnAnswer;
-use super::relay::{BegunAnswer, EndpointSearch};
-use super::request_end::{RequestEnd, StreamPace};
-use super::unary::{ReadFailure, caller_headers, read_whole};
+use super::local_answer::LocalAnswer;
+use super::request_end::{RequestEnd, StreamTiming};
+use super::unary::{ReadFailure, caller_headers, read_complete};
 use crate::clock::BootClock;
 use crate::node::{EntryNode, PickedEndpoint};
 use bytes::Bytes;
@@ -20,35 +20,35 @@
 use tokio::sync::mpsc;
 
 /// Pieces that wait for a caller who reads slowly.
-const PIECES_WAITING: usize = 16;
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// Begins a stream; its rest is passed on by a task of its own.
+/// Begins a stream; its remaining is passed on by a task of its own.
 pub(super) async fn serve(
     node: &Rc<EntryNode>,
     request: Rc<AdmittedRequest>,
-) -> Result<Response<AnswerBody>, OwnAnswer> {
+) -> Result<Response<AnswerBody>, LocalAnswer> {
     let mut search = EndpointSearch::new(node, &request);
-    let begun = search.run().await?;
-    let status = begun.answer.response.status();
+    let started = search.run().await?;
+    let status = started.answer.response.status();
     if !status.is_success() {
-        return pass_failure(node, &request, &search, begun).await;
+        return relay_error_answer(node, &request, &search, started).await;
     }
-    let headers = caller_headers(begun.answer.response.headers().clone());
-    let (pieces, body) = mpsc::channel(PIECES_WAITING);
+    let headers = caller_headers(started.answer.response.headers().clone());
+    let (chunks, body) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let relay = StreamRelay {
         node: Rc::clone(node),
         request,
         search,
-        pieces,
+        chunks,
         events: EventReader::default(),
-        has_begun: false,
-        pace: StreamPace {
-            predicted: begun.picked.predicted,
-            first_piece: None,
+        has_started: false,
+        timing: StreamTiming {
+            predicted: started.picked.predicted,
+            first_chunk: None,
             longest_pause: TimeSpan::ZERO,
         },
     };
-    tokio::task::spawn_local(relay.run(begun));
+    tokio::task::spawn_local(relay.run(started));
     let mut response = Response::new(AnswerBody::Relayed(body));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -56,16 +56,16 @@
 }
 
 /// Passes on an endpoint's own failure.
-async fn pass_failure(
+async fn relay_error_answer(
     node: &Rc<EntryNode>,
     request: &Rc<AdmittedRequest>,
     search: &EndpointSearch,
-    begun: BegunAnswer,
-) -> Result<Response<AnswerBody>, OwnAnswer> {
-    let status = begun.answer.response.status();
-    let id = begun.picked.id.clone();
-    let sent_at = begun.sent_at;
-    match read_whole(node, request, begun.answer, begun.picked).await {
+    started: StartedAnswer,
+) -> Result<Response<AnswerBody>, LocalAnswer> {
+    let status = started.answer.response.status();
+    let id = started.picked.id.clone();
+    let sent_at = started.sent_at;
+    match read_complete(node, request, started.answer, started.picked).await {
         Ok((headers, body)) => {
             let end = RequestEnd {
                 endpoint: &id,
@@ -73,16 +73,16 @@
                 outcome: "answered",
                 sent_at,
                 sent: search.sent(),
-                pace: None,
+                timing: None,
             };
-            end.note(node, request);
-            let mut response = Response::new(AnswerBody::whole(body));
+            end.record(node, request);
+            let mut response = Response::new(AnswerBody::complete(body));
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             Ok(response)
         }
-        Err(ReadFailure::Broken) => Err(OwnAnswer::Lost("answer_broken")),
-        Err(ReadFailure::Late) => Err(OwnAnswer::TimedOut),
+        Err(ReadFailure::Broken) => Err(LocalAnswer::Lost("answer_broken")),
+        Err(ReadFailure::TimedOut) => Err(LocalAnswer::TimedOut),
     }
 }
 
@@ -112,24 +112,24 @@
     node: Rc<EntryNode>,
     request: Rc<AdmittedRequest>,
     search: EndpointSearch,
-    pieces: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
+    chunks: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
     events: EventReader,
-    has_begun: bool,
-    pace: StreamPace,
+    has_started: bool,
+    timing: StreamTiming,
 }
 
 impl StreamRelay {
-    async fn run(mut self, begun: BegunAnswer) {
-        let mut current = begun;
+    async fn run(mut self, started: StartedAnswer) {
+        let mut current = started;
         loop {
             let id = current.picked.id.clone();
             let sent_at = current.sent_at;
             let (picked, end) = self.relay(current).await;
             let sent = self.search.sent();
             match end {
-                RelayEnd::Complete => self.node.note_outcome(&id, EndpointOutcome::Success),
+                RelayEnd::Complete => self.node.record_outcome(&id, EndpointOutcome::Success),
                 RelayEnd::Broken => {
-                    self.search.note_failed(&id, EndpointOutcome::Broken);
+                    self.search.record_failure(&id, EndpointOutcome::Broken);
                     suspect_crash(&self.node, self.request.fingerprint, &picked);
                     drop(picked);
                     if let Some(next) = self.resume().await {
@@ -139,55 +139,55 @@
                 }
                 RelayEnd::CallerLeft | RelayEnd::TimedOut => {}
             }
-            let note = RequestEnd {
+            let request_end = RequestEnd {
                 endpoint: &id,
                 status: 200,
                 outcome: end.name(),
                 sent_at,
                 sent,
-                pace: Some(self.pace),
+                timing: Some(self.timing),
             };
-            note.note(&self.node, &self.request);
+            request_end.record(&self.node, &self.request);
             if matches!(end, RelayEnd::Broken | RelayEnd::TimedOut) {
                 // Sending fails when the caller has left, which needs no handling.
-                let _ = self.pieces.send(Err(BrokenAnswer)).await;
+                let _ = self.chunks.send(Err(BrokenAnswer)).await;
             }
             return;
         }
     }
 
     /// Continues a broken stream at another endpoint, if that is allowed.
-    async fn resume(&mut self) -> Option<BegunAnswer> {
-        if !is_resumable(&self.request) || !self.search.take_repeat() {
+    async fn resume(&mut self) -> Option<StartedAnswer> {
+        if !is_resumable(&self.request) || !self.search.take_retry() {
             return None;
         }
         self.events.drop_partial();
         self.search.silent_since = BootClock::now();
         self.search.resume_after = self.events.last_id.or(self.search.resume_after);
         let search = self.search.run();
-        let begun = tokio::select! {
-            () = self.pieces.closed() => return None,
-            begun = search => begun.ok()?,
+        let started = tokio::select! {
+            () = self.chunks.closed() => return None,
+            started = search => started.ok()?,
         };
-        let is_success = begun.answer.response.status().is_success();
-        is_success.then_some(begun)
+        let is_success = started.answer.response.status().is_success();
+        is_success.then_some(started)
     }
 
-    async fn relay(&mut self, begun: BegunAnswer) -> (PickedEndpoint, RelayEnd) {
-        let BegunAnswer {
+    async fn relay(&mut self, started: StartedAnswer) -> (PickedEndpoint, RelayEnd) {
+        let StartedAnswer {
             answer,
             picked,
             sent_at,
-        } = begun;
+        } = started;
         let mut body = answer.response.into_body();
-        let end = self.copy(&mut body, &picked, sent_at).await;
+        let end = self.copy_body(&mut body, &picked, sent_at).await;
         if end == RelayEnd::Complete {
-            answer.line.finish(&self.node);
+            answer.connection.finish(&self.node);
         }
         (picked, end)
     }
 
-    async fn copy(
+    async fn copy_body(
         &mut self,
         body: &mut Incoming,
         picked: &PickedEndpoint,
@@ -195,35 +195,35 @@
     ) -> RelayEnd {
         let left = BootClock::now().until(self.request.deadline);
         let mut deadline = std::pin::pin!(tokio::time::sleep(left.duration()));
-        let mut last_piece = None;
+        let mut last_chunk = None;
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.pieces.closed() => return RelayEnd::CallerLeft,
+                () = self.chunks.closed() => return RelayEnd::CallerLeft,
                 frame = body.frame() => frame,
                 () = deadline.as_mut() => return RelayEnd::TimedOut,
             };
-            let piece = match frame {
+            let chunk = match frame {
                 None => return self.finish().await,
                 Some(Err(_)) => return RelayEnd::Broken,
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(piece) => piece,
+                    Ok(chunk) => chunk,
                     Err(_) => continue,
                 },
             };
             let now = BootClock::now();
-            match last_piece.replace(now) {
-                None => self.note_first_piece(picked, sent_at, now),
+            match last_chunk.replace(now) {
+                None => self.record_first_chunk(picked, sent_at, now),
                 Some(before) => {
                     let pause = now.since(before);
-                    self.pace.longest_pause = self.pace.longest_pause.max(pause);
+                    self.timing.longest_pause = self.timing.longest_pause.max(pause);
                 }
             }
-            let Some(piece) = self.whole_events(piece) else {
+            let Some(chunk) = self.complete_events(chunk) else {
                 continue;
             };
             let sent = tokio::select! {
-                sent = self.pieces.send(Ok(piece)) => sent,
+                sent = self.chunks.send(Ok(chunk)) => sent,
                 () = deadline.as_mut() => return RelayEnd::TimedOut,
             };
             if sent.is_err() {
@@ -233,31 +233,32 @@
     }
 
     /// Returns what may be passed on of the bytes so far.
-    fn whole_events(&mut self, piece: Bytes) -> Option<Bytes> {
+    fn complete_events(&mut self, chunk: Bytes) -> Option<Bytes> {
         if !is_resumable(&self.request) {
-            return Some(piece);
+            return Some(chunk);
         }
-        let whole = self.events.push(&piece);
-        if whole.is_none() && self.events.is_overlong() {
-            return Some(self.events.rest());
+        let events = self.events.push(&chunk);
+        if events.is_none() && self.events.is_overlong() {
+            return Some(self.events.take_remaining());
         }
-        whole
+        events
     }
 
     async fn finish(&mut self) -> RelayEnd {
-        let rest = self.events.rest();
-        if !rest.is_empty() && self.pieces.send(Ok(rest)).await.is_err() {
+        let remaining = self.events.take_remaining();
+        if !remaining.is_empty() && self.chunks.send(Ok(remaining)).await.is_err() {
             return RelayEnd::CallerLeft;
         }
         RelayEnd::Complete
     }
 
-    fn note_first_piece(&mut self, picked: &PickedEndpoint, sent_at: LocalTime, now: LocalTime) {
-        picked.guard.note_first_token();
+    fn record_first_chunk(&mut self, picked: &PickedEndpoint, sent_at: LocalTime, now: LocalTime) {
+        picked.guard.record_first_token();
         let measured = now.since(sent_at);
-        self.pace.first_piece.get_or_insert(measured);
-        self.node.note_pace(&picked.id, picked.predicted, measured);
-        if !std::mem::replace(&mut self.has_begun, true) {
+        self.timing.first_chunk.get_or_insert(measured);
+        self.node
+            .record_slowdown(&picked.id, picked.predicted, measured);
+        if !std::mem::replace(&mut self.has_started, true) {
             let waited = now.since(self.request.arrival);
             self.node.stats.first_byte.record(waited.millis());
         }
--- a/crates/clementinepond_entry/src/caller/unary.rs
+++ b/crates/clementinepond_entry/src/caller/unary.rs
@@ -1,9 +1,9 @@
-//! Answers that are read whole before the caller gets them.
+//! Answers that are read complete before the caller gets them.
 
+use super::admission::AdmittedRequest;
 use super::answer_body::AnswerBody;
-use super::gate::AdmittedRequest;
-use super::refusal::OwnAnswer;
-use super::relay::{BegunAnswer, EndpointSearch};
+use super::endpoint_search::{EndpointSearch, StartedAnswer};
+use super::local_answer::LocalAnswer;
 use super::request_end::RequestEnd;
 use crate::clock::BootClock;
 use crate::endpoint::AttemptAnswer;
@@ -16,30 +16,30 @@
 use hyper::header::{CONTENT_LENGTH, HeaderMap};
 use std::rc::Rc;
 
-/// Largest answer that is read whole, in bytes; bounds the memory of a VM.
+/// Largest answer that is read complete, in bytes; bounds the memory of a VM.
 const ANSWER_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 /// Serves one request.
 pub(super) async fn serve(
     node: &Rc<EntryNode>,
     request: &Rc<AdmittedRequest>,
-) -> Result<Response<AnswerBody>, OwnAnswer> {
+) -> Result<Response<AnswerBody>, LocalAnswer> {
     let mut search = EndpointSearch::new(node, request);
     loop {
-        let begun = search.run().await?;
-        let BegunAnswer {
+        let started = search.run().await?;
+        let StartedAnswer {
             answer,
             picked,
             sent_at,
-        } = begun;
+        } = started;
         let status = answer.response.status();
         let id = picked.id.clone();
-        match read_whole(node, request, answer, picked).await {
+        match read_complete(node, request, answer, picked).await {
             Ok((headers, body)) => {
                 let measured = BootClock::now().since(sent_at);
                 if status.is_success() {
-                    node.note_outcome(&id, EndpointOutcome::Success);
-                    node.note_work(&id, measured);
+                    node.record_outcome(&id, EndpointOutcome::Success);
+                    node.record_service_time(&id, measured);
                 }
                 let end = RequestEnd {
                     endpoint: &id,
@@ -47,22 +47,22 @@
                     outcome: "answered",
                     sent_at,
                     sent: search.sent(),
-                    pace: None,
+                    timing: None,
                 };
-                end.note(node, request);
-                let mut response = Response::new(AnswerBody::whole(body));
+                end.record(node, request);
+                let mut response = Response::new(AnswerBody::complete(body));
                 *response.status_mut() = status;
                 *response.headers_mut() = headers;
                 return Ok(response);
             }
             Err(failure) => {
-                search.note_failed(&id, EndpointOutcome::Broken);
-                if request.may_repeat() && failure == ReadFailure::Broken && search.take_repeat() {
+                search.record_failure(&id, EndpointOutcome::Broken);
+                if request.may_retry() && failure == ReadFailure::Broken && search.take_retry() {
                     continue;
                 }
                 return Err(match failure {
-                    ReadFailure::Broken => OwnAnswer::Lost("answer_broken"),
-                    ReadFailure::Late => OwnAnswer::TimedOut,
+                    ReadFailure::Broken => LocalAnswer::Lost("answer_broken"),
+                    ReadFailure::TimedOut => LocalAnswer::TimedOut,
                 });
             }
         }
@@ -72,11 +72,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadFailure {
     Broken,
-    Late,
+    TimedOut,
 }
 
 /// Reads an answer to its end; the run ends with it.
-pub(super) async fn read_whole(
+pub(super) async fn read_complete(
     node: &Rc<EntryNode>,
     request: &AdmittedRequest,
     answer: AttemptAnswer,
@@ -88,9 +88,9 @@
     let bytes = match tokio::time::timeout(left.duration(), reading).await {
         Ok(Ok(collected)) => collected.to_bytes(),
         Ok(Err(_)) => return Err(ReadFailure::Broken),
-        Err(_) => return Err(ReadFailure::Late),
+        Err(_) => return Err(ReadFailure::TimedOut),
     };
-    answer.line.finish(node);
+    answer.connection.finish(node);
     drop(picked);
     Ok((caller_headers(parts.headers), bytes))
 }
--- a/crates/clementinepond_entry/src/endpoint/attempt.rs
+++ b/crates/clementinepond_entry/src/endpoint/attempt.rs
@@ -19,7 +19,7 @@
 
 /// Longest time for opening a connection; a lost opening packet is sent again
 /// only after seconds.
-const CONNECT_LIMIT: TimeSpan = TimeSpan::from_millis(350);
+const CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(350);
 
 /// A caller's request, read whole.
 #[derive(Debug, Clone)]
@@ -49,19 +49,19 @@
 pub(crate) struct AttemptAnswer {
     pub(crate) response: Response<Incoming>,
     pub(crate) mark: AnswerMark,
-    pub(crate) line: AnswerLine,
+    pub(crate) connection: AnswerConnection,
 }
 
 /// Connection of an answer; returns to the pool when the answer is whole.
 #[derive(Debug)]
-pub(crate) struct AnswerLine {
+pub(crate) struct AnswerConnection {
     connection: Connection,
     endpoint: EndpointId,
     stated_timeout: Option<TimeSpan>,
     closes: bool,
 }
 
-impl AnswerLine {
+impl AnswerConnection {
     /// Keeps the connection after a whole answer.
     pub(crate) fn finish(self, node: &EntryNode) {
         if self.closes || self.connection.sender.is_closed() {
@@ -99,7 +99,7 @@
         let was_kept = kept.is_some();
         let mut connection = match kept.take() {
             Some(connection) => connection,
-            None => open_connection(attempt.address, CONNECT_LIMIT)
+            None => open_connection(attempt.address, CONNECT_TIMEOUT)
                 .await
                 .map_err(AttemptFailure::NotSent)?,
         };
@@ -162,7 +162,7 @@
         return Err(AttemptFailure::Foreign);
     }
     let (stated_timeout, closes) = read_keep_alive(response.headers());
-    let line = AnswerLine {
+    let connection = AnswerConnection {
         connection,
         endpoint: attempt.endpoint.clone(),
         stated_timeout,
@@ -171,6 +171,6 @@
     Ok(AttemptAnswer {
         response,
         mark,
-        line,
+        connection,
     })
 }
--- a/crates/clementinepond_entry/src/endpoint/pool.rs
+++ b/crates/clementinepond_entry/src/endpoint/pool.rs
@@ -6,8 +6,8 @@
 use fnv::FnvHashMap;
 use std::cell::RefCell;
 
-/// Idle connections kept to one endpoint; bounds descriptors on small VMs.
-const IDLE_LIMIT: usize = 12;
+/// Idle connections kept to connection endpoint; bounds descriptors on small VMs.
+const MAX_IDLE_CONNECTIONS: usize = 12;
 
 /// Idle connections by endpoint.
 #[derive(Debug, Default)]
@@ -16,15 +16,15 @@
 }
 
 impl ConnectionPool {
-    /// Takes the connection that was used last, if one is fresh enough.
+    /// Takes the connection that was used last, if connection is fresh enough.
     pub(crate) fn take(&self, id: &EndpointId, rule: ReuseRule) -> Option<PooledConnection> {
         let now = BootClock::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(id)?;
-        connections.retain(|one| one.is_usable(ReuseRule::Repeatable, now));
+        connections.retain(|connection| connection.is_usable(ReuseRule::Retryable, now));
         let index = connections
             .iter()
-            .rposition(|one| one.is_usable(rule, now))?;
+            .rposition(|connection| connection.is_usable(rule, now))?;
         Some(connections.remove(index))
     }
 
@@ -32,7 +32,7 @@
     pub(crate) fn put(&self, id: &EndpointId, connection: PooledConnection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(id.clone()).or_default();
-        if connections.len() < IDLE_LIMIT {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(connection);
         }
     }
@@ -47,7 +47,7 @@
         let now = BootClock::now();
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|one| one.is_usable(ReuseRule::Repeatable, now));
+            connections.retain(|connection| connection.is_usable(ReuseRule::Retryable, now));
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
--- a/crates/clementinepond_entry/src/endpoint/pooled_connection.rs
+++ b/crates/clementinepond_entry/src/endpoint/pooled_connection.rs
@@ -7,17 +7,17 @@
 use clementinepond_types::{LocalTime, TimeSpan};
 
 /// Part of the endpoint's idle timeout within which a connection is reused.
-const REUSE_PARTS: (u64, u64) = (6, 10);
+const REUSE_FRACTION: (u64, u64) = (6, 10);
 /// The same for requests that must not be sent twice.
-const FRESH_PARTS: (u64, u64) = (3, 10);
+const SINGLE_SEND_REUSE_FRACTION: (u64, u64) = (3, 10);
 /// Idle time within which a connection without a stated timeout is reused.
-const UNSTATED_REUSE: TimeSpan = TimeSpan::from_millis(250);
+const DEFAULT_REUSE_TIMEOUT: TimeSpan = TimeSpan::from_millis(250);
 
 /// How fresh a kept connection has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReuseRule {
     /// A lost request is sent again.
-    Repeatable,
+    Retryable,
     /// A lost request stays lost.
     Once,
 }
@@ -50,12 +50,14 @@
         }
         let idle = now.since(self.idle_since);
         let (parts, whole) = match rule {
-            ReuseRule::Repeatable => REUSE_PARTS,
-            ReuseRule::Once => FRESH_PARTS,
+            ReuseRule::Retryable => REUSE_FRACTION,
+            ReuseRule::Once => SINGLE_SEND_REUSE_FRACTION,
         };
         let limit = self
             .stated_timeout
-            .map_or(UNSTATED_REUSE, |timeout| timeout.fraction(parts, whole));
+            .map_or(DEFAULT_REUSE_TIMEOUT, |timeout| {
+                timeout.fraction(parts, whole)
+            });
         idle < limit
     }
 }
--- a/crates/clementinepond_entry/src/http/call.rs
+++ b/crates/clementinepond_entry/src/http/call.rs
@@ -1,4 +1,4 @@
-//! Small calls with a time limit, on a connection that is kept.
+//! Small calls with a time timeout, on a connection that is kept.
 
 use super::{Connection, open_connection};
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 /// Largest answer that is read, in bytes; a page of a list is about a megabyte.
 const ANSWER_LIMIT_BYTES: usize = 8 * 1024 * 1024;
 /// Longest time for opening a connection.
-const CONNECT_LIMIT: TimeSpan = TimeSpan::from_millis(500);
+const CONNECT_TIMEOUT: TimeSpan = TimeSpan::from_millis(500);
 
 /// How a call failed.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
@@ -34,12 +34,12 @@
 
 /// One kept connection to one address, for one call at a time.
 #[derive(Debug)]
-pub(crate) struct HttpLine {
+pub(crate) struct HttpClient {
     address: SocketAddrV4,
     connection: Option<Connection>,
 }
 
-impl HttpLine {
+impl HttpClient {
     pub(crate) const fn new(address: SocketAddrV4) -> Self {
         Self {
             address,
@@ -58,18 +58,18 @@
         path: &str,
         headers: HeaderMap,
         body: Vec<u8>,
-        limit: TimeSpan,
+        timeout: TimeSpan,
     ) -> Result<CallReply, CallFailure> {
         let kept = match self.connection.take() {
             Some(mut connection) => {
-                let ready = tokio::time::timeout(limit.duration(), connection.sender.ready());
+                let ready = tokio::time::timeout(timeout.duration(), connection.sender.ready());
                 matches!(ready.await, Ok(Ok(()))).then_some(connection)
             }
             None => None,
         };
         let mut connection = match kept {
             Some(connection) => connection,
-            None => open_connection(self.address, limit.min(CONNECT_LIMIT))
+            None => open_connection(self.address, timeout.min(CONNECT_TIMEOUT))
                 .await
                 .map_err(|_| CallFailure::NotSent)?,
         };
@@ -104,7 +104,7 @@
                 .to_bytes();
             Ok(CallReply { status, body })
         };
-        let reply = tokio::time::timeout(limit.duration(), call)
+        let reply = tokio::time::timeout(timeout.duration(), call)
             .await
             .map_err(|_| CallFailure::Timeout)??;
         // A connection on which an answer was lost is never used again: it is
--- a/crates/clementinepond_entry/src/http/connect.rs
+++ b/crates/clementinepond_entry/src/http/connect.rs
@@ -15,11 +15,11 @@
 /// Time without acknowledgement after which the kernel gives a connection up.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Idle time after which the kernel probes a connection.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 /// Time between two probes.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Unanswered probes after which a connection counts as dead.
-const PROBE_COUNT: u32 = 2;
+const KEEPALIVE_PROBES: u32 = 2;
 
 /// Reason for which no connection could be made.
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
@@ -45,13 +45,13 @@
     }
 }
 
-/// Opens a connection within a time limit.
+/// Opens a connection within a time timeout.
 pub(crate) async fn open_connection(
     address: SocketAddrV4,
-    limit: TimeSpan,
+    timeout: TimeSpan,
 ) -> Result<Connection, ConnectFailure> {
     let connecting = TcpStream::connect(address);
-    let stream = match tokio::time::timeout(limit.duration(), connecting).await {
+    let stream = match tokio::time::timeout(timeout.duration(), connecting).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
             return Err(ConnectFailure::Refused);
@@ -89,14 +89,14 @@
 fn tune(stream: &TcpStream, unacknowledged: Option<Duration>) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBE_COUNT);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let tuned = stream
         .set_nodelay(true)
         .and_then(|()| socket.set_tcp_keepalive(&keepalive))
         .and_then(|()| match unacknowledged {
-            Some(limit) => socket.set_tcp_user_timeout(Some(limit)),
+            Some(timeout) => socket.set_tcp_user_timeout(Some(timeout)),
             None => Ok(()),
         });
     if let Err(error) = tuned {
--- a/crates/clementinepond_entry/src/lib.rs
+++ b/crates/clementinepond_entry/src/lib.rs
@@ -7,12 +7,12 @@
 
 mod caller;
 mod clock;
-mod duty;
 mod endpoint;
 mod http;
 mod log_sink;
 mod node;
 mod peer;
+mod placement_lease;
 mod run;
 mod settings;
 mod store;
--- a/crates/clementinepond_entry/src/node/entry_node.rs
+++ b/crates/clementinepond_entry/src/node/entry_node.rs
@@ -1,8 +1,8 @@
 //! The VM's state and its wake-up calls.
 
 use super::NodeStats;
-use super::placement::PlacementKnowledge;
-use super::run_news::RunOutbox;
+use super::placement::PlacementView;
+use super::run_update::RunOutbox;
 use crate::endpoint::ConnectionPool;
 use crate::peer::PeerSocket;
 use crate::settings::EntrySettings;
@@ -29,7 +29,7 @@
 use tokio::sync::Notify;
 
 /// Time that this VM's own watch gets before a peer's news make it late.
-const WATCH_PATIENCE: Duration = Duration::from_millis(250);
+const OWN_WATCH_DELAY: Duration = Duration::from_millis(250);
 
 /// What the VM knows and counts.
 #[derive(Debug)]
@@ -48,25 +48,25 @@
     pub(crate) endpoint_revision: u64,
     pub(crate) health: HealthTable,
     pub(crate) loads: LoadTable,
-    pub(crate) parts: PrefixCacheIndex,
+    pub(crate) prefix_cache: PrefixCacheIndex,
     pub(crate) demand: DemandMeter,
-    pub(crate) quotas: RateLimiter,
+    pub(crate) limiter: RateLimiter,
     pub(crate) budgets: FnvHashMap<ServiceId, RetryBudget>,
     pub(crate) peers: PeerTable,
-    pub(crate) placement: PlacementKnowledge,
+    pub(crate) placement: PlacementView,
     pub(crate) suspects: CrashSuspects,
     /// Measured time to the first token over the predicted one.
-    pub(crate) paces: FnvHashMap<EndpointId, f64>,
+    pub(crate) slowdowns: FnvHashMap<EndpointId, f64>,
     /// Measured time of one request, in milliseconds.
-    pub(crate) work_ms: FnvHashMap<EndpointId, f64>,
+    pub(crate) service_times_ms: FnvHashMap<EndpointId, f64>,
     pub(crate) store_answered_at: LocalTime,
     /// Kinds whose calls of the store fail now.
     pub(crate) failing_kinds: u32,
     /// Moment of this VM's last order in this process.
     pub(crate) last_order: Option<LocalTime>,
-    /// State towards the lease of the placement duty.
+    /// State towards the lease of the placement placement_lease.
     pub(crate) lease: Option<PlacementLease>,
-    /// Placement of each service while this VM holds the duty.
+    /// Placement of each service while this VM holds the placement_lease.
     pub(crate) planners: FnvHashMap<ServiceId, PlacementPlanner>,
     pub(crate) ejected_here: FnvHashMap<NameHash, LocalTime>,
     /// Requests sent and not announced yet.
@@ -84,11 +84,11 @@
     /// Moment of the signal to stop.
     pub(crate) stopping_since: Cell<Option<LocalTime>>,
     /// Wakes the watches when a peer knows more.
-    pub(crate) peer_news: Notify,
+    pub(crate) heartbeat_received: Notify,
     /// Wakes requests that wait for placement.
     pub(crate) placement_changed: Notify,
-    /// Wakes the duty's task.
-    pub(crate) duty_due: Notify,
+    /// Wakes the placement_lease's task.
+    pub(crate) orders_due: Notify,
     pub(crate) socket: OnceCell<Rc<PeerSocket>>,
 }
 
@@ -104,15 +104,15 @@
             endpoint_revision: 0,
             health: HealthTable::default(),
             loads: LoadTable::default(),
-            parts: PrefixCacheIndex::default(),
+            prefix_cache: PrefixCacheIndex::default(),
             demand: DemandMeter::default(),
-            quotas: RateLimiter::new(),
+            limiter: RateLimiter::new(),
             budgets: FnvHashMap::default(),
             peers: PeerTable::default(),
-            placement: PlacementKnowledge::default(),
+            placement: PlacementView::default(),
             suspects: CrashSuspects::default(),
-            paces: FnvHashMap::default(),
-            work_ms: FnvHashMap::default(),
+            slowdowns: FnvHashMap::default(),
+            service_times_ms: FnvHashMap::default(),
             store_answered_at: LocalTime::ORIGIN,
             failing_kinds: 0,
             last_order: None,
@@ -128,9 +128,9 @@
             pool: ConnectionPool::default(),
             stats: NodeStats::default(),
             stopping_since: Cell::new(None),
-            peer_news: Notify::new(),
+            heartbeat_received: Notify::new(),
             placement_changed: Notify::new(),
-            duty_due: Notify::new(),
+            orders_due: Notify::new(),
             socket: OnceCell::new(),
         }
     }
@@ -157,11 +157,11 @@
     /// Returns once a peer has known more than this VM for a while.
     pub(crate) async fn peer_ahead(&self, target: WatchTarget) {
         loop {
-            self.peer_news.notified().await;
+            self.heartbeat_received.notified().await;
             if !self.is_peer_ahead(target) {
                 continue;
             }
-            tokio::time::sleep(WATCH_PATIENCE).await;
+            tokio::time::sleep(OWN_WATCH_DELAY).await;
             if self.is_peer_ahead(target) {
                 return;
             }
--- a/crates/clementinepond_entry/src/node/fleet_state.rs
+++ b/crates/clementinepond_entry/src/node/fleet_state.rs
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 
 /// Largest number of entry changes in one datagram.
-const ENTRIES_A_DATAGRAM: usize = 24;
+const MAX_ENTRIES_PER_DATAGRAM: usize = 24;
 /// Age of the store's last answer up to which the VM counts as in contact.
-const CONTACT_AGE: TimeSpan = TimeSpan::from_millis(4_200);
+const STORE_CONTACT_MAX_AGE: TimeSpan = TimeSpan::from_millis(4_200);
 
-/// Multiple of the usual pause between calls at the first watcher of a data
+/// Multiple of the usual delay between calls at the first watcher of a data
 /// centre, and at the second; the latter stays well within the drain time.
-const FIRST_WATCHER_PAUSES: u64 = 4;
-const STANDBY_PAUSES: u64 = 12;
+const PRIMARY_WATCHER_DELAY_FACTOR: u64 = 4;
+const STANDBY_WATCHER_DELAY_FACTOR: u64 = 12;
 /// Time after its first list for which a VM hears who watches, before it
 /// watches itself: in a fleet that is known to be large, and otherwise.
-const LARGE_ROLE_WAIT: TimeSpan = TimeSpan::from_millis(1_500);
-const ROLE_WAIT: TimeSpan = TimeSpan::from_millis(400);
+const LARGE_FLEET_ROLE_DELAY: TimeSpan = TimeSpan::from_millis(1_500);
+const ROLE_DELAY: TimeSpan = TimeSpan::from_millis(400);
 
 impl EntryNode {
     /// Puts a configuration in force if it is newer than the current one.
-    pub(crate) fn offer_configuration(&self, spec: &Value, source: &str) {
+    pub(crate) fn apply_configuration(&self, spec: &Value, source: &str) {
         let policy = match read_configuration(spec) {
             Ok(policy) => policy,
             Err(error) => {
@@ -55,31 +55,31 @@
         self.placement_changed.notify_waiters();
     }
 
-    pub(crate) fn note_configuration_revision(&self, revision: u64) {
+    pub(crate) fn record_configuration_revision(&self, revision: u64) {
         let mut state = self.state.borrow_mut();
         state.configuration_revision = state.configuration_revision.max(revision);
     }
 
     /// Takes over a list of endpoints, or changes to it.
-    pub(crate) fn take_endpoints(&self, page: StorePage, is_list: bool, source: &str) {
+    pub(crate) fn apply_endpoints(&self, page: StorePage, is_list: bool, source: &str) {
         let now = BootClock::now();
         if is_list {
             self.replace_endpoints(page, source, now);
         } else {
-            self.spread_entries(&page.objects);
+            self.forward_entries(&page.objects);
             for object in page.objects {
                 let revision = object.revision;
-                self.take_endpoint(object, source, now);
+                self.apply_endpoint(object, source, now);
                 let mut state = self.state.borrow_mut();
                 state.endpoint_revision = state.endpoint_revision.max(revision);
             }
         }
         self.placement_changed.notify_waiters();
-        self.duty_due.notify_one();
+        self.orders_due.notify_one();
     }
 
     /// Forwards changes to the VMs of this data centre if this VM is a watcher.
-    fn spread_entries(&self, objects: &[StoreObject]) {
+    fn forward_entries(&self, objects: &[StoreObject]) {
         let now = BootClock::now();
         let settings = self.settings();
         let after = {
@@ -97,13 +97,13 @@
             state.endpoint_revision
         };
         let mut after = after;
-        for batch in objects.chunks(ENTRIES_A_DATAGRAM) {
+        for batch in objects.chunks(MAX_ENTRIES_PER_DATAGRAM) {
             let changes = batch.iter().map(|object| EntryChange {
                 name: object.name.clone(),
                 revision: object.revision,
                 spec: (!object.is_deleted).then(|| object.spec.to_string().into()),
             });
-            let news = EntryUpdate {
+            let update = EntryUpdate {
                 after,
                 changes: changes.collect(),
             };
@@ -111,13 +111,13 @@
                 .iter()
                 .map(|object| object.revision)
                 .fold(after, u64::max);
-            self.broadcast_home(PeerMessage::Entries(news));
+            self.broadcast_in_data_centre(PeerMessage::Entries(update));
         }
     }
 
     /// Takes over what a peer knows: changed entries, the names of all, and the
     /// revision of the newest change.
-    pub(crate) fn take_snapshot(
+    pub(crate) fn apply_snapshot(
         &self,
         changed: Vec<StoreObject>,
         names: &[Box<str>],
@@ -125,19 +125,19 @@
     ) {
         let now = BootClock::now();
         for object in changed {
-            self.take_endpoint(object, "peer", now);
+            self.apply_endpoint(object, "peer", now);
         }
-        let gone: Vec<(Box<str>, u64)> = {
+        let removed: Vec<(Box<str>, u64)> = {
             let state = self.state.borrow();
-            let is_gone = |name: &str, known: u64| {
+            let is_removed = |name: &str, known: u64| {
                 known <= revision && !names.iter().any(|one| **one == *name)
             };
             let all = state.endpoint_specs.iter();
-            let missing = all.filter(|(name, (known, _))| is_gone(name, *known));
+            let missing = all.filter(|(name, (known, _))| is_removed(name, *known));
             let named = missing.map(|(name, (known, _))| (name.clone(), *known));
             named.collect()
         };
-        for (name, known) in gone {
+        for (name, known) in removed {
             let object = StoreObject {
                 name,
                 // A snapshot lacks the deletion's revision; it is above that of the last change.
@@ -145,21 +145,21 @@
                 is_deleted: true,
                 spec: Value::Null,
             };
-            self.take_endpoint(object, "peer", now);
+            self.apply_endpoint(object, "peer", now);
         }
         let mut state = self.state.borrow_mut();
         state.endpoint_revision = state.endpoint_revision.max(revision);
         drop(state);
         self.placement_changed.notify_waiters();
-        self.duty_due.notify_one();
+        self.orders_due.notify_one();
     }
 
     /// Applies changes forwarded by a watcher.
-    pub(crate) fn take_entry_news(&self, news: EntryUpdate) {
+    pub(crate) fn apply_entry_update(&self, update: EntryUpdate) {
         let now = BootClock::now();
         let known = self.state.borrow().endpoint_revision;
         let mut newest = known;
-        for change in news.changes {
+        for change in update.changes {
             newest = newest.max(change.revision);
             let spec = match change.spec.as_deref().map(serde_json::from_str).transpose() {
                 Ok(spec) => spec,
@@ -177,14 +177,14 @@
                 is_deleted: spec.is_none(),
                 spec: spec.unwrap_or_default(),
             };
-            self.take_endpoint(object, "peer", now);
+            self.apply_endpoint(object, "peer", now);
         }
         // After a gap the revision stays, which makes this VM ask for the rest.
-        if news.after <= known {
+        if update.after <= known {
             self.state.borrow_mut().endpoint_revision = newest;
         }
         self.placement_changed.notify_waiters();
-        self.duty_due.notify_one();
+        self.orders_due.notify_one();
     }
 
     fn replace_endpoints(&self, page: StorePage, source: &str, now: LocalTime) {
@@ -220,7 +220,7 @@
         state.directory.replace(entries, page.revision, now);
     }
 
-    fn take_endpoint(&self, object: StoreObject, source: &str, now: LocalTime) {
+    fn apply_endpoint(&self, object: StoreObject, source: &str, now: LocalTime) {
         let mut state = self.state.borrow_mut();
         if !state.entry_revisions.accept(&object.name, object.revision) {
             return;
@@ -257,9 +257,9 @@
         let change = state.directory.update(entry, now);
         if change == EndpointChange::Joined {
             state.health.forget(&id);
-            state.paces.remove(&id);
+            state.slowdowns.remove(&id);
             let key = NameHash::of(id.as_str());
-            state.parts.forget(key);
+            state.prefix_cache.forget(key);
             state.loads.forget_queue(key);
         }
         if change != EndpointChange::Same {
@@ -271,9 +271,9 @@
     }
 
     /// Notes that the path to the store broke or works again.
-    pub(crate) fn note_store(&self, is_back: bool, kind: &str) {
+    pub(crate) fn record_store_state(&self, is_reachable: bool, kind: &str) {
         let mut state = self.state.borrow_mut();
-        if is_back {
+        if is_reachable {
             state.failing_kinds = state.failing_kinds.saturating_sub(1);
             state.directory.record_store_return(BootClock::now());
             log::info!("event=store_regained kind={kind}");
@@ -284,12 +284,12 @@
 
     /// Returns how long changes collect: longer in a large fleet, where they
     /// are many, and much longer at the second watcher, which stands by.
-    pub(crate) fn batch_pause(&self, pause: TimeSpan) -> TimeSpan {
+    pub(crate) fn batch_delay(&self, delay: TimeSpan) -> TimeSpan {
         let settings = self.settings();
         let now = BootClock::now();
         let state = self.state.borrow();
         if state.peers.peer_counts(now).1 < SMALL_FLEET_MAX_VMS {
-            return pause;
+            return delay;
         }
         let rank = state.peers.watch_rank(
             &settings.vm,
@@ -298,18 +298,22 @@
             now,
         );
         let factor = if rank == 0 {
-            FIRST_WATCHER_PAUSES
+            PRIMARY_WATCHER_DELAY_FACTOR
         } else {
-            STANDBY_PAUSES
+            STANDBY_WATCHER_DELAY_FACTOR
         };
-        pause.fraction(factor, 1)
+        delay.fraction(factor, 1)
     }
 
     /// Tells whether this VM watches the store itself, having listed its objects
     /// first at `listed_at`.
     pub(crate) fn may_watch(&self, listed_at: LocalTime, now: LocalTime) -> bool {
         let is_large = self.state.borrow().peers.peer_counts(now).1 >= SMALL_FLEET_MAX_VMS;
-        let wait = if is_large { LARGE_ROLE_WAIT } else { ROLE_WAIT };
+        let wait = if is_large {
+            LARGE_FLEET_ROLE_DELAY
+        } else {
+            ROLE_DELAY
+        };
         now.since(listed_at) >= wait && self.is_watcher(now)
     }
 
@@ -325,7 +329,7 @@
         )
     }
 
-    pub(crate) fn note_store_answer(&self, now: LocalTime) {
+    pub(crate) fn record_store_answer(&self, now: LocalTime) {
         self.state.borrow_mut().store_answered_at = now;
     }
 
@@ -333,27 +337,27 @@
     /// changes.
     pub(crate) fn has_store(&self, now: LocalTime) -> bool {
         let state = self.state.borrow();
-        let is_fresh = |age: TimeSpan| age < CONTACT_AGE;
+        let is_fresh = |age: TimeSpan| age < STORE_CONTACT_MAX_AGE;
         is_fresh(now.since(state.store_answered_at))
             || state.peers.live(now).any(|(_, peer)| {
                 let age = peer
                     .heartbeat
                     .as_ref()
-                    .map(|news| u64::from(news.store_age_ms));
+                    .map(|heartbeat| u64::from(heartbeat.store_age_ms));
                 age.is_some_and(|age| is_fresh(TimeSpan::from_millis(age)))
             })
     }
 
-    /// Drops endpoints that are gone for good.
+    /// Drops endpoints that are removed for good.
     pub(crate) fn sweep_endpoints(&self, now: LocalTime) {
         let mut state = self.state.borrow_mut();
         for id in state.directory.sweep(now) {
             if state.directory.get(&id).is_none() {
                 state.health.forget(&id);
-                state.paces.remove(&id);
-                state.work_ms.remove(&id);
+                state.slowdowns.remove(&id);
+                state.service_times_ms.remove(&id);
                 let key = NameHash::of(id.as_str());
-                state.parts.forget(key);
+                state.prefix_cache.forget(key);
                 state.loads.forget_queue(key);
                 self.pool.forget(&id);
                 log::info!("event=endpoint_gone endpoint={id}");
--- a/crates/clementinepond_entry/src/node/mod.rs
+++ b/crates/clementinepond_entry/src/node/mod.rs
@@ -1,11 +1,11 @@
 //! State of one entry VM, shared by its tasks.
 
-mod contact;
 mod entry_node;
 mod fleet_state;
+mod peers;
 mod pick;
 mod placement;
-mod run_news;
+mod run_update;
 mod stats;
 
 pub(crate) use entry_node::EntryNode;
--- a/crates/clementinepond_entry/src/node/contact.rs
+++ b/crates/clementinepond_entry/src/node/peers.rs
@@ -12,9 +12,9 @@
 use std::net::SocketAddrV4;
 
 /// Time after a process's start within which it takes over peers' buckets.
-const ADOPTION_WINDOW: TimeSpan = TimeSpan::from_secs(3);
+const LEVEL_ADOPTION_WINDOW: TimeSpan = TimeSpan::from_secs(3);
 /// Time for which peers hear of an endpoint that was set aside.
-const EJECTION_NEWS: TimeSpan = TimeSpan::from_millis(600);
+const EJECTION_REPORT_DURATION: TimeSpan = TimeSpan::from_millis(600);
 
 impl EntryNode {
     pub(crate) fn learn_peer(&self, vm: &VmId, address: SocketAddrV4, now: LocalTime) {
@@ -26,25 +26,25 @@
         }
     }
 
-    /// Takes over a peer's regular news.
-    pub(crate) fn take_news(
+    /// Takes over a peer's regular heartbeat.
+    pub(crate) fn apply_heartbeat(
         &self,
         from: &VmId,
         address: SocketAddrV4,
-        news: Box<PeerHeartbeat>,
+        heartbeat: Box<PeerHeartbeat>,
         started_at: LocalTime,
         now: LocalTime,
     ) {
         self.learn_peer(from, address, now);
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        let loads = news.loads.clone();
-        let ejected = news.ejected.clone();
-        let lapsed = news.expired_order_age_ms;
-        let Some(uses) = state.peers.record_heartbeat(from, address, news, now) else {
+        let loads = heartbeat.loads.clone();
+        let ejected = heartbeat.ejected.clone();
+        let expired_order_age = heartbeat.expired_order_age_ms;
+        let Some(uses) = state.peers.record_heartbeat(from, address, heartbeat, now) else {
             return;
         };
-        if let (Some(age), Some(lease)) = (lapsed, &mut state.lease) {
+        if let (Some(age), Some(lease)) = (expired_order_age, &mut state.lease) {
             let age = u64::from(age) * 1_000;
             let last_order = LocalTime::from_micros(now.micros().saturating_sub(age));
             let vm = from.clone();
@@ -57,9 +57,9 @@
                 continue;
             };
             if !one.is_first {
-                state.quotas.record_remote(policy, one.units, now);
-            } else if now.since(started_at) < ADOPTION_WINDOW {
-                state.quotas.adopt_level(policy, one.level, now);
+                state.limiter.record_remote(policy, one.units, now);
+            } else if now.since(started_at) < LEVEL_ADOPTION_WINDOW {
+                state.limiter.adopt_level(policy, one.level, now);
             }
         }
         if !ejected.is_empty() {
@@ -74,18 +74,18 @@
             }
         }
         drop(guard);
-        self.peer_news.notify_waiters();
+        self.heartbeat_received.notify_waiters();
     }
 
-    /// Writes this VM's regular news.
-    pub(crate) fn own_news(&self, number: u64, now: LocalTime) -> PeerHeartbeat {
+    /// Writes this VM's regular heartbeat.
+    pub(crate) fn own_heartbeat(&self, number: u64, now: LocalTime) -> PeerHeartbeat {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
         state
             .ejected_here
-            .retain(|_, at| now.since(*at) < EJECTION_NEWS);
+            .retain(|_, at| now.since(*at) < EJECTION_REPORT_DURATION);
         let accounts = state
-            .quotas
+            .limiter
             .snapshots(now)
             .map(|(id, figures)| AccountUsage {
                 account: id.clone(),
@@ -106,7 +106,7 @@
             has_store: state.failing_kinds == 0,
             store_age_ms: u32::try_from(now.since(state.store_answered_at).millis())
                 .unwrap_or(u32::MAX),
-            expired_order_age_ms: state.lapsed_order_age(now),
+            expired_order_age_ms: state.expired_order_age(now),
             lease_fence: state.lease.as_ref().and_then(|lease| lease.held_fence(now)),
             accounts: accounts.collect(),
             loads: state.loads.own_loads(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Tells whether a heard peer knows more than this VM.
+    /// Tells whether a live peer knows more than this VM.
     pub(crate) fn is_peer_ahead(&self, target: WatchTarget) -> bool {
         let state = self.state.borrow();
         let version = state
@@ -127,37 +127,42 @@
             .peers
             .live(BootClock::now())
             .filter_map(|(_, peer)| peer.heartbeat.as_ref())
-            .any(|news| match target {
-                WatchTarget::Configuration => news.configuration > version,
-                WatchTarget::Endpoints => news.directory > revision,
+            .any(|heartbeat| match target {
+                WatchTarget::Configuration => heartbeat.configuration > version,
+                WatchTarget::Endpoints => heartbeat.directory > revision,
             })
     }
 
     /// Returns the peer that knows more than this VM, if there is one.
-    pub(crate) fn peer_with_more(&self, now: LocalTime) -> Option<SocketAddrV4> {
+    pub(crate) fn newer_peer(&self, now: LocalTime) -> Option<SocketAddrV4> {
         let state = self.state.borrow();
         let version = state
             .table
             .as_ref()
             .map_or(0, |table| table.policy().version);
         let revision = state.endpoint_revision;
-        let home = self.settings().data_centre.clone();
+        let own_data_centre = self.settings().data_centre.clone();
         let ahead: Vec<_> = state
             .peers
             .live(now)
             .filter_map(|(_, peer)| Some((peer.address, peer.heartbeat.as_ref()?)))
-            .filter(|(_, news)| news.configuration > version || news.directory > revision)
+            .filter(|(_, heartbeat)| {
+                heartbeat.configuration > version || heartbeat.directory > revision
+            })
             .collect();
         // The nearest of those that know the newest configuration; among them
         // any, so that they share the work.
-        let newest = ahead.iter().map(|(_, news)| news.configuration).max()?;
+        let newest = ahead
+            .iter()
+            .map(|(_, heartbeat)| heartbeat.configuration)
+            .max()?;
         let known = ahead
             .iter()
-            .filter(|(_, news)| news.configuration == newest);
+            .filter(|(_, heartbeat)| heartbeat.configuration == newest);
         known
-            .max_by_key(|(_, news)| {
-                let is_home = news.data_centre == home;
-                (is_home, rand::rng().random::<u32>())
+            .max_by_key(|(_, heartbeat)| {
+                let is_same_data_centre = heartbeat.data_centre == own_data_centre;
+                (is_same_data_centre, rand::rng().random::<u32>())
             })
             .map(|(address, _)| *address)
     }
@@ -184,8 +189,8 @@
     }
 
     /// Sends a message to the peers of this data centre.
-    pub(crate) fn broadcast_home(&self, message: PeerMessage) {
-        let home = self.settings().data_centre.clone();
+    pub(crate) fn broadcast_in_data_centre(&self, message: PeerMessage) {
+        let own_data_centre = self.settings().data_centre.clone();
         let Some(socket) = self.socket.get() else {
             return;
         };
@@ -193,9 +198,10 @@
             return;
         };
         let state = self.state.borrow();
-        let is_home = |news: &PeerHeartbeat| news.data_centre == home;
+        let is_same_data_centre =
+            |heartbeat: &PeerHeartbeat| heartbeat.data_centre == own_data_centre;
         for (_, peer) in state.peers.all() {
-            if peer.heartbeat.as_deref().is_some_and(is_home) {
+            if peer.heartbeat.as_deref().is_some_and(is_same_data_centre) {
                 socket.send(&bytes, peer.address);
             }
         }
@@ -232,9 +238,9 @@
             // Its requests have ended, or it cannot be distinguished from a stopped VM.
             state.loads.forget_peer(&vm);
         }
-        let (heard, known) = state.peers.peer_counts(now);
-        state.quotas.set_live_peers(heard, known, now);
-        let asked = state.peers.requested_per_s(now);
-        state.quotas.set_remote_demand(asked);
+        let (live, known) = state.peers.peer_counts(now);
+        state.limiter.set_live_peers(live, known, now);
+        let requested = state.peers.requested_per_s(now);
+        state.limiter.set_remote_demand(requested);
     }
 }
--- a/crates/clementinepond_entry/src/node/pick.rs
+++ b/crates/clementinepond_entry/src/node/pick.rs
@@ -22,14 +22,14 @@
 /// Shares of its shared parts that the owners of a session probably hold; two
 /// owners let load be balanced without losing the cache.
 const OWNER_CACHE_SHARES: [f64; 2] = [0.85, 0.7];
-/// Weight of a new measurement in an endpoint's pace.
-const PACE_WEIGHT: f64 = 0.15;
-/// Bounds of an endpoint's pace.
-const PACE_RANGE: (f64, f64) = (0.4, 6.0);
+/// Weight of a new measurement in an endpoint's slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.15;
+/// Bounds of an endpoint's slowdown.
+const SLOWDOWN_RANGE: (f64, f64) = (0.4, 6.0);
 /// Weight of a new measurement in an endpoint's time a request.
-const WORK_WEIGHT: f64 = 0.1;
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 /// Time of one request before any was measured, in milliseconds.
-const FIRST_WORK_MS: f64 = 60.0;
+const DEFAULT_SERVICE_TIME_MS: f64 = 60.0;
 
 /// Why a request is refused without having been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,10 +38,10 @@
     NoEndpoint,
     /// No endpoint holds the model.
     NoCopy,
-    /// No endpoint holds the adapter, and there is no holder of the placement duty.
+    /// No endpoint holds the adapter, and there is no holder of the placement placement_lease.
     NoAdapter,
     /// No endpoint can start it in time.
-    Crowded(TimeSpan),
+    Overloaded(TimeSpan),
 }
 
 /// Endpoint picked for one request.
@@ -53,34 +53,36 @@
     pub(crate) predicted: TimeSpan,
     /// Adapter that has to be loaded there first.
     pub(crate) missing_adapter: Option<AdapterLocation>,
-    pub(crate) guard: RunGuard,
+    pub(crate) guard: InFlightGuard,
 }
 
 /// Account of one run; settled when dropped.
 #[derive(Debug)]
-pub(crate) struct RunGuard {
+pub(crate) struct InFlightGuard {
     node: Rc<EntryNode>,
     id: EndpointId,
     key: NameHash,
-    share: EndpointLoad,
-    /// Prompt tokens that count as unread until the first token.
-    unread: Cell<u32>,
+    run_load: EndpointLoad,
+    /// Prompt tokens that count as pending_prefill until the first token.
+    pending_prefill: Cell<u32>,
 }
 
-impl RunGuard {
+impl InFlightGuard {
     /// Notes the first token.
-    pub(crate) fn note_first_token(&self) {
-        let tokens = self.unread.take();
+    pub(crate) fn record_first_token(&self) {
+        let tokens = self.pending_prefill.take();
         let mut state = self.node.state.borrow_mut();
         state.loads.finish_prefill(self.key, tokens);
     }
 }
 
-impl Drop for RunGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut state = self.node.state.borrow_mut();
-        state.loads.finish_prefill(self.key, self.unread.get());
-        state.loads.finish(self.key, self.share);
+        state
+            .loads
+            .finish_prefill(self.key, self.pending_prefill.get());
+        state.loads.finish(self.key, self.run_load);
         state.health.end_run(&self.id);
     }
 }
@@ -126,12 +128,12 @@
             time_left: now.until(query.deadline),
             first_token_wait: now.until(query.first_token_by),
         };
-        let home = self.settings().data_centre.clone();
+        let own_data_centre = self.settings().data_centre.clone();
         let model_key = NameHash::of(target.model.as_str());
         let weights = weights_key(target);
         let guard = self.state.borrow();
         let state = &*guard;
-        let holders: Vec<&KnownEndpoint> = state
+        let hosting: Vec<&KnownEndpoint> = state
             .directory
             .usable(query.service, now)
             .filter(|known| known.entry.hosted(&target.model).is_some())
@@ -141,8 +143,8 @@
                 !state.placement.is_absent(key, model_key, now)
             })
             .collect();
-        let has_holder = state.has_duty_holder(now);
-        let open: Vec<&KnownEndpoint> = holders
+        let has_lease_holder = state.has_lease_holder(now);
+        let open: Vec<&KnownEndpoint> = hosting
             .iter()
             .copied()
             .filter(|known| {
@@ -150,18 +152,19 @@
                 !state.placement.is_closing(key, model_key, now)
             })
             .collect();
-        let holders = if open.is_empty() { holders } else { open };
-        let owners = session_owners(query.profile, &holders);
+        let hosting = if open.is_empty() { hosting } else { open };
+        let owners = session_owners(query.profile, &hosting);
         let shared_tokens = shared_tokens(query.profile);
-        let candidates: Vec<EngineCandidate<'_>> = holders
+        let candidates: Vec<EngineCandidate<'_>> = hosting
             .iter()
             .enumerate()
             .map(|(index, known)| {
                 let entry = &known.entry;
                 let key = NameHash::of(entry.id.as_str());
-                let seen = state
-                    .parts
-                    .cached_tokens(key, weights, &query.profile.blocks);
+                let recorded =
+                    state
+                        .prefix_cache
+                        .cached_tokens(key, weights, &query.profile.blocks);
                 let share = owners
                     .iter()
                     .zip(OWNER_CACHE_SHARES)
@@ -170,12 +173,12 @@
                 let assumed = (shared_tokens as f64 * share) as u64;
                 let adapter = match &target.adapter {
                     Some(adapter) => {
-                        let place = AdapterLocation {
+                        let location = AdapterLocation {
                             endpoint: key,
                             adapter: adapter_hash(&target.model, adapter),
                         };
                         let held = state.placement.adapters_at(key);
-                        if state.placement.has_adapter(&place) {
+                        if state.placement.has_adapter(&location) {
                             AdapterReadiness::Ready
                         } else if held < engine.adapter_slots as usize {
                             AdapterReadiness::Missing
@@ -189,22 +192,22 @@
                     endpoint: entry,
                     load: state.loads.total(key),
                     prefill_tokens: state.loads.pending_prefill(key, now),
-                    cached_tokens: seen.max(assumed),
+                    cached_tokens: recorded.max(assumed),
                     grade: state.health.grade(&entry.id, now),
                     adapter,
-                    is_local: entry.data_centre == home,
+                    is_local: entry.data_centre == own_data_centre,
                     is_unlisted: known.presence != Presence::Listed,
-                    slowdown: state.paces.get(&entry.id).copied().unwrap_or(1.0),
+                    slowdown: state.slowdowns.get(&entry.id).copied().unwrap_or(1.0),
                 }
             })
             .collect();
         // Without a holder no adapter gets loaded: only engines that have it qualify.
         let ready: Vec<EngineCandidate<'_>> = candidates
             .iter()
-            .filter(|one| one.adapter == AdapterReadiness::Ready)
+            .filter(|candidate| candidate.adapter == AdapterReadiness::Ready)
             .cloned()
             .collect();
-        let candidates = if has_holder || ready.is_empty() {
+        let candidates = if has_lease_holder || ready.is_empty() {
             candidates
         } else {
             ready
@@ -212,12 +215,12 @@
         let (index, predicted) = match choose_engine(&candidates, &request) {
             EngineVerdict::Send { index, first_token } => (index, first_token),
             EngineVerdict::Refuse { retry_after } => {
-                return Err(RefusalCause::Crowded(retry_after));
+                return Err(RefusalCause::Overloaded(retry_after));
             }
             EngineVerdict::NoCopy => return Err(RefusalCause::NoCopy),
         };
         let chosen = &candidates[index];
-        if chosen.adapter != AdapterReadiness::Ready && !has_holder {
+        if chosen.adapter != AdapterReadiness::Ready && !has_lease_holder {
             return Err(RefusalCause::NoAdapter);
         }
         let prefill = tokens.prompt.saturating_sub(chosen.cached_tokens);
@@ -234,11 +237,11 @@
         let address = chosen.endpoint.address;
         let account = query
             .account
-            .map(|id| (id.clone(), state.quotas.admitted(id) as u64));
+            .map(|id| (id.clone(), state.limiter.admitted(id) as u64));
         drop(guard);
         let run = SentRun {
             endpoint: id.clone(),
-            prefill_tokens: clip(prefill),
+            prefill_tokens: saturating_u32(prefill),
             context_tokens: context_tokens(tokens, query.profile),
             weights,
             blocks: query.profile.blocks.clone(),
@@ -259,7 +262,7 @@
         query: &PickQuery<'_>,
     ) -> Result<PickedEndpoint, RefusalCause> {
         let now = BootClock::now();
-        let home = self.settings().data_centre.clone();
+        let own_data_centre = self.settings().data_centre.clone();
         let guard = self.state.borrow();
         let state = &*guard;
         let candidates: Vec<ServiceCandidate<'_>> = state
@@ -273,31 +276,31 @@
                     endpoint: entry,
                     load: state.loads.total(key),
                     grade: state.health.grade(&entry.id, now),
-                    is_local: entry.data_centre == home,
+                    is_local: entry.data_centre == own_data_centre,
                     is_unlisted: known.presence != Presence::Listed,
                     service_time_ms: state
-                        .work_ms
+                        .service_times_ms
                         .get(&entry.id)
                         .copied()
-                        .unwrap_or(FIRST_WORK_MS),
+                        .unwrap_or(DEFAULT_SERVICE_TIME_MS),
                 }
             })
             .collect();
         let index = match choose_service_endpoint(&candidates, now.until(query.deadline)) {
             ServiceVerdict::Send { index } => index,
             ServiceVerdict::Refuse { retry_after } => {
-                return Err(RefusalCause::Crowded(retry_after));
+                return Err(RefusalCause::Overloaded(retry_after));
             }
             ServiceVerdict::NoEndpoint => return Err(RefusalCause::NoEndpoint),
         };
         let id = candidates[index].endpoint.id.clone();
         let address = candidates[index].endpoint.address;
         drop(guard);
-        let share = EndpointLoad {
+        let run_load = EndpointLoad {
             runs: 1,
             context_tokens: 0,
         };
-        let guard = self.start_run(&id, share, 0);
+        let guard = self.start_run(&id, run_load, 0);
         Ok(PickedEndpoint {
             id,
             address,
@@ -308,39 +311,49 @@
     }
 
     /// Counts a run at an engine and announces it to the peers.
-    fn start_engine_run(self: &Rc<Self>, run: SentRun, capacity: u64, now: LocalTime) -> RunGuard {
+    fn start_engine_run(
+        self: &Rc<Self>,
+        run: SentRun,
+        capacity: u64,
+        now: LocalTime,
+    ) -> InFlightGuard {
         let key = NameHash::of(run.endpoint.as_str());
-        let share = EndpointLoad {
+        let run_load = EndpointLoad {
             runs: 1,
             context_tokens: run.context_tokens,
         };
-        let guard = self.start_run(&run.endpoint, share, run.prefill_tokens);
+        let guard = self.start_run(&run.endpoint, run_load, run.prefill_tokens);
         let mut state = self.state.borrow_mut();
         state.loads.start_prefill(key, run.prefill_tokens, now);
         state
-            .parts
+            .prefix_cache
             .record_prefill(key, run.weights, &run.blocks, capacity, now);
         drop(state);
         self.announce_run(run, now);
         guard
     }
 
-    fn start_run(self: &Rc<Self>, id: &EndpointId, share: EndpointLoad, unread: u32) -> RunGuard {
+    fn start_run(
+        self: &Rc<Self>,
+        id: &EndpointId,
+        run_load: EndpointLoad,
+        pending_prefill: u32,
+    ) -> InFlightGuard {
         let key = NameHash::of(id.as_str());
         let mut state = self.state.borrow_mut();
-        state.loads.start(key, share);
+        state.loads.start(key, run_load);
         state.health.start_run(id);
-        RunGuard {
+        InFlightGuard {
             node: Rc::clone(self),
             id: id.clone(),
             key,
-            share,
-            unread: Cell::new(unread),
+            run_load,
+            pending_prefill: Cell::new(pending_prefill),
         }
     }
 
     /// Notes how a request fared at an endpoint.
-    pub(crate) fn note_outcome(&self, id: &EndpointId, outcome: EndpointOutcome) {
+    pub(crate) fn record_outcome(&self, id: &EndpointId, outcome: EndpointOutcome) {
         let now = BootClock::now();
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -363,20 +376,23 @@
     }
 
     /// Compares a measured time to the first token with the predicted one.
-    pub(crate) fn note_pace(&self, id: &EndpointId, predicted: TimeSpan, measured: TimeSpan) {
+    pub(crate) fn record_slowdown(&self, id: &EndpointId, predicted: TimeSpan, measured: TimeSpan) {
         let ratio = (measured.micros() as f64 + 3e3) / (predicted.micros() as f64 + 3e3);
         let mut state = self.state.borrow_mut();
-        let pace = state.paces.entry(id.clone()).or_insert(1.0);
-        let target = (*pace * ratio).clamp(PACE_RANGE.0, PACE_RANGE.1);
-        *pace += (target - *pace) * PACE_WEIGHT;
+        let slowdown = state.slowdowns.entry(id.clone()).or_insert(1.0);
+        let target = (*slowdown * ratio).clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
+        *slowdown += (target - *slowdown) * SLOWDOWN_WEIGHT;
     }
 
     /// Notes the time of one request of a plain service.
-    pub(crate) fn note_work(&self, id: &EndpointId, measured: TimeSpan) {
+    pub(crate) fn record_service_time(&self, id: &EndpointId, measured: TimeSpan) {
         let millis = measured.micros() as f64 / 1e3;
         let mut state = self.state.borrow_mut();
-        let work = state.work_ms.entry(id.clone()).or_insert(FIRST_WORK_MS);
-        *work += (millis - *work) * WORK_WEIGHT;
+        let service_time = state
+            .service_times_ms
+            .entry(id.clone())
+            .or_insert(DEFAULT_SERVICE_TIME_MS);
+        *service_time += (millis - *service_time) * SERVICE_TIME_WEIGHT;
     }
 }
 
@@ -394,13 +410,13 @@
         .blocks
         .iter()
         .take(count)
-        .map(|part| part.tokens)
+        .map(|block| block.tokens)
         .sum()
 }
 
-/// Returns the holders that own the request's adapter or session, the same on
+/// Returns the hosting that own the request's adapter or session, the same on
 /// every VM.
-fn session_owners(profile: &RequestProfile, holders: &[&KnownEndpoint]) -> Vec<usize> {
+fn session_owners(profile: &RequestProfile, hosting: &[&KnownEndpoint]) -> Vec<usize> {
     let adapter = profile
         .target
         .as_ref()
@@ -408,12 +424,12 @@
     let session = match adapter {
         Some(key) => key.number(),
         None => match profile.blocks.get(profile.blocks.len().saturating_sub(2)) {
-            Some(part) => part.id,
+            Some(block) => block.id,
             None => return Vec::new(),
         },
     };
-    let weight = |index: usize| rendezvous_weight(session, holders[index].entry.id.as_str());
-    let mut order: Vec<usize> = (0..holders.len()).collect();
+    let weight = |index: usize| rendezvous_weight(session, hosting[index].entry.id.as_str());
+    let mut order: Vec<usize> = (0..hosting.len()).collect();
     order.sort_by_key(|&index| std::cmp::Reverse(weight(index)));
     order.truncate(OWNER_CACHE_SHARES.len());
     order
@@ -425,9 +441,9 @@
         .output_hint
         .unwrap_or(tokens.output)
         .min(tokens.output);
-    clip(tokens.prompt + output)
+    saturating_u32(tokens.prompt + output)
 }
 
-fn clip(tokens: u64) -> u32 {
+fn saturating_u32(tokens: u64) -> u32 {
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
--- a/crates/clementinepond_entry/src/node/placement.rs
+++ b/crates/clementinepond_entry/src/node/placement.rs
@@ -1,4 +1,4 @@
-//! Placement news from the holder of the duty, and requests to it.
+//! Placement update from the holder of the placement_lease, and requests to it.
 
 use super::EntryNode;
 use super::entry_node::NodeState;
@@ -12,29 +12,29 @@
 use clementinepond_types::{AdapterId, EndpointId, LocalTime, ModelId, TimeSpan, VmId};
 use fnv::{FnvHashMap, FnvHashSet};
 
-/// Age of the holder's news up to which a copy counts as closing.
-const CLOSING_AGE: TimeSpan = TimeSpan::from_secs(3);
+/// Age of the holder's update up to which a copy counts as closing.
+const CLOSING_MAX_AGE: TimeSpan = TimeSpan::from_secs(3);
 
 /// Time for which an endpoint's answer that it lacks a model counts; its entry
 /// follows within a heartbeat.
-const ABSENCE_SPAN: TimeSpan = TimeSpan::from_millis(1_000);
-/// Silence after which the holder's news of placement no longer show that it
+const ABSENCE_DURATION: TimeSpan = TimeSpan::from_millis(1_000);
+/// Silence after which the holder's update of placement no longer show that it
 /// is there; it sends some twice a second.
-const HOLDER_SILENCE: TimeSpan = TimeSpan::from_millis(1_100);
+const HOLDER_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_100);
 /// Time between two words to the holder about an adapter in use.
-const USE_NEWS: TimeSpan = TimeSpan::from_millis(1_000);
+const USE_REPORT_INTERVAL: TimeSpan = TimeSpan::from_millis(1_000);
 /// Time after which an unanswered adapter request is sent again.
-const ADAPTER_REQUEST_REPEAT: TimeSpan = TimeSpan::from_millis(60);
+const ADAPTER_REQUEST_RETRY_INTERVAL: TimeSpan = TimeSpan::from_millis(60);
 
 /// Adapters and closing copies, as the holder sees them.
 #[derive(Debug, Default)]
-pub(crate) struct PlacementKnowledge {
+pub(crate) struct PlacementView {
     fence: u64,
     number: u64,
     adapters: FnvHashSet<AdapterLocation>,
     closing: FnvHashSet<(NameHash, NameHash)>,
-    heard_at: LocalTime,
-    /// Whether the news came from another VM.
+    updated_at: LocalTime,
+    /// Whether the update came from another VM.
     is_remote: bool,
     holder: Option<VmId>,
     /// Adapters at each endpoint.
@@ -44,37 +44,37 @@
     /// Models that an endpoint said it does not hold, and until when that counts.
     absent: FnvHashMap<(NameHash, NameHash), LocalTime>,
     /// Moment at which the holder was last notified of each adapter in use.
-    pub(crate) told: FnvHashMap<AdapterLocation, LocalTime>,
+    pub(crate) use_reported_at: FnvHashMap<AdapterLocation, LocalTime>,
 }
 
-impl PlacementKnowledge {
-    /// Takes over news; false when they are out of date.
-    pub(crate) fn take(
+impl PlacementView {
+    /// Takes over update; false when they are out of date.
+    pub(crate) fn apply(
         &mut self,
-        news: PlacementUpdate,
+        update: PlacementUpdate,
         from: Option<&VmId>,
         now: LocalTime,
     ) -> bool {
-        if (news.fence, news.number) < (self.fence, self.number) {
+        if (update.fence, update.number) < (self.fence, self.number) {
             return false;
         }
-        self.fence = news.fence;
-        self.number = news.number;
-        if news.is_complete {
+        self.fence = update.fence;
+        self.number = update.number;
+        if update.is_complete {
             self.adapters.clear();
         }
-        for place in &news.removed {
-            self.adapters.remove(place);
+        for location in &update.removed {
+            self.adapters.remove(location);
         }
-        self.adapters.extend(news.adapters);
+        self.adapters.extend(update.adapters);
         self.counts.clear();
-        for place in &self.adapters {
-            *self.counts.entry(place.endpoint).or_default() += 1;
+        for location in &self.adapters {
+            *self.counts.entry(location.endpoint).or_default() += 1;
         }
-        self.closing = news.closing.into_iter().collect();
-        self.heard_at = now;
+        self.closing = update.closing.into_iter().collect();
+        self.updated_at = now;
         self.loading.clear();
-        for (model, millis) in news.loading {
+        for (model, millis) in update.loading {
             let expected = now + TimeSpan::from_millis(u64::from(millis));
             let soonest = self.loading.entry(model).or_insert(expected);
             *soonest = (*soonest).min(expected);
@@ -84,9 +84,9 @@
         true
     }
 
-    pub(crate) fn note_ready(&mut self, place: AdapterLocation) {
-        let endpoint = place.endpoint;
-        if self.adapters.insert(place) {
+    pub(crate) fn record_ready(&mut self, location: AdapterLocation) {
+        let endpoint = location.endpoint;
+        if self.adapters.insert(location) {
             *self.counts.entry(endpoint).or_default() += 1;
         }
     }
@@ -97,9 +97,10 @@
     }
 
     /// Notes that an endpoint said it does not hold a model.
-    pub(crate) fn note_absent(&mut self, endpoint: NameHash, model: NameHash, now: LocalTime) {
+    pub(crate) fn record_absent(&mut self, endpoint: NameHash, model: NameHash, now: LocalTime) {
         self.absent.retain(|_, until| now < *until);
-        self.absent.insert((endpoint, model), now + ABSENCE_SPAN);
+        self.absent
+            .insert((endpoint, model), now + ABSENCE_DURATION);
     }
 
     pub(crate) fn is_absent(&self, endpoint: NameHash, model: NameHash, now: LocalTime) -> bool {
@@ -108,12 +109,12 @@
             .is_some_and(|until| now < *until)
     }
 
-    pub(crate) fn note_missing(&mut self, place: &AdapterLocation) {
-        self.adapters.remove(place);
+    pub(crate) fn record_missing(&mut self, location: &AdapterLocation) {
+        self.adapters.remove(location);
     }
 
-    pub(crate) fn has_adapter(&self, place: &AdapterLocation) -> bool {
-        self.adapters.contains(place)
+    pub(crate) fn has_adapter(&self, location: &AdapterLocation) -> bool {
+        self.adapters.contains(location)
     }
 
     /// Returns the moment at which a model's next copy is expected.
@@ -122,60 +123,60 @@
     }
 
     pub(crate) fn is_closing(&self, endpoint: NameHash, model: NameHash, now: LocalTime) -> bool {
-        now.since(self.heard_at) < CLOSING_AGE && self.closing.contains(&(endpoint, model))
+        now.since(self.updated_at) < CLOSING_MAX_AGE && self.closing.contains(&(endpoint, model))
     }
 }
 
 impl NodeState {
     /// Tells whether this VM may give orders now.
-    pub(crate) fn holds_duty(&self, now: LocalTime) -> bool {
+    pub(crate) fn may_send_orders(&self, now: LocalTime) -> bool {
         self.lease
             .as_ref()
             .is_some_and(|lease| lease.fence(now).is_some())
     }
 
     /// Returns the age of this VM's last order once its authority is over.
-    pub(crate) fn lapsed_order_age(&self, now: LocalTime) -> Option<u32> {
+    pub(crate) fn expired_order_age(&self, now: LocalTime) -> Option<u32> {
         let holds = self.lease.as_ref()?.held_fence(now).is_some();
         let at = self.last_order.filter(|_| !holds)?;
         Some(u32::try_from(now.since(at).millis()).unwrap_or(u32::MAX))
     }
 
-    /// Tells whether another VM shows that it holds the placement duty.
-    pub(crate) fn hears_holder(&self, now: LocalTime) -> bool {
-        let is_told = now.since(self.placement.heard_at) < HOLDER_SILENCE;
+    /// Tells whether another VM shows that it holds the placement placement_lease.
+    pub(crate) fn has_live_holder(&self, now: LocalTime) -> bool {
+        let is_update_recent = now.since(self.placement.updated_at) < HOLDER_TIMEOUT;
         let is_small = self.peers.peer_counts(now).1 < SMALL_FLEET_MAX_VMS;
-        let is_fresh = |vm: &VmId| !is_small || self.peers.age(vm, now) < HOLDER_SILENCE;
-        let heard = self.peers.lease_holder(now);
-        (is_told && self.placement.is_remote && heard.is_some())
-            || heard.is_some_and(|(vm, _)| is_fresh(vm))
+        let is_fresh = |vm: &VmId| !is_small || self.peers.age(vm, now) < HOLDER_TIMEOUT;
+        let live_holder = self.peers.lease_holder(now);
+        (is_update_recent && self.placement.is_remote && live_holder.is_some())
+            || live_holder.is_some_and(|(vm, _)| is_fresh(vm))
     }
 
-    /// Tells whether this VM or a heard peer holds the placement duty.
-    pub(crate) fn has_duty_holder(&self, now: LocalTime) -> bool {
-        self.holds_duty(now) || self.hears_holder(now)
+    /// Tells whether this VM or a heard peer holds the placement placement_lease.
+    pub(crate) fn has_lease_holder(&self, now: LocalTime) -> bool {
+        self.may_send_orders(now) || self.has_live_holder(now)
     }
 }
 
 impl EntryNode {
-    pub(crate) fn take_placement(
+    pub(crate) fn apply_placement(
         &self,
-        news: PlacementUpdate,
+        update: PlacementUpdate,
         from: Option<&VmId>,
         now: LocalTime,
     ) {
-        if self.state.borrow_mut().placement.take(news, from, now) {
+        if self.state.borrow_mut().placement.apply(update, from, now) {
             self.placement_changed.notify_waiters();
         }
     }
 
-    pub(crate) fn take_adapter_ready(&self, place: AdapterLocation) {
-        self.state.borrow_mut().placement.note_ready(place);
+    pub(crate) fn apply_adapter_ready(&self, location: AdapterLocation) {
+        self.state.borrow_mut().placement.record_ready(location);
         self.placement_changed.notify_waiters();
     }
 
-    /// Handles a VM's request for an adapter if this VM holds the duty.
-    pub(crate) fn take_adapter_wanted(
+    /// Handles a VM's request for an adapter if this VM holds the placement_lease.
+    pub(crate) fn apply_adapter_wanted(
         &self,
         from: &VmId,
         endpoint: &EndpointId,
@@ -185,7 +186,7 @@
     ) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        let holds = state.holds_duty(now);
+        let holds = state.may_send_orders(now);
         let service = state
             .directory
             .get(endpoint)
@@ -197,11 +198,11 @@
             return;
         };
         planner.request_adapter(from, endpoint, model, adapter, now);
-        self.duty_due.notify_one();
+        self.orders_due.notify_one();
     }
 
-    /// Returns the place of a request's adapter at an endpoint.
-    pub(crate) fn adapter_place(
+    /// Returns the location of a request's adapter at an endpoint.
+    pub(crate) fn adapter_location(
         &self,
         endpoint: &EndpointId,
         target: Option<&ModelTarget>,
@@ -221,14 +222,14 @@
         target: &ModelTarget,
         limit: TimeSpan,
     ) -> bool {
-        let Some(place) = self.adapter_place(endpoint, Some(target)) else {
+        let Some(location) = self.adapter_location(endpoint, Some(target)) else {
             return true;
         };
         let until = BootClock::now() + limit;
         loop {
             let mut changed = std::pin::pin!(self.placement_changed.notified());
             changed.as_mut().enable();
-            if self.state.borrow().placement.has_adapter(&place) {
+            if self.state.borrow().placement.has_adapter(&location) {
                 return true;
             }
             if BootClock::now() >= until {
@@ -236,22 +237,25 @@
             }
             self.notify_holder(endpoint, target);
             // The request or its answer may be lost.
-            let _ = tokio::time::timeout(ADAPTER_REQUEST_REPEAT.duration(), changed).await;
+            let _ = tokio::time::timeout(ADAPTER_REQUEST_RETRY_INTERVAL.duration(), changed).await;
         }
     }
 
     /// Notifies the holder that an adapter is in use, so that it is not evicted.
-    pub(crate) fn note_adapter_use(&self, endpoint: &EndpointId, target: &ModelTarget) {
-        let Some(place) = self.adapter_place(endpoint, Some(target)) else {
+    pub(crate) fn report_adapter_use(&self, endpoint: &EndpointId, target: &ModelTarget) {
+        let Some(location) = self.adapter_location(endpoint, Some(target)) else {
             return;
         };
         let now = BootClock::now();
         let is_due = {
             let mut state = self.state.borrow_mut();
-            let told = state.placement.told.insert(place.clone(), now);
-            let is_due = told.is_none_or(|at| now.since(at) >= USE_NEWS);
-            if let (false, Some(at)) = (is_due, told) {
-                state.placement.told.insert(place, at);
+            let use_reported_at = state
+                .placement
+                .use_reported_at
+                .insert(location.clone(), now);
+            let is_due = use_reported_at.is_none_or(|at| now.since(at) >= USE_REPORT_INTERVAL);
+            if let (false, Some(at)) = (is_due, use_reported_at) {
+                state.placement.use_reported_at.insert(location, at);
             }
             is_due
         };
@@ -266,12 +270,14 @@
         };
         let now = BootClock::now();
         let me = self.settings().vm.clone();
-        self.take_adapter_wanted(&me, endpoint, &target.model, adapter, now);
+        self.apply_adapter_wanted(&me, endpoint, &target.model, adapter, now);
         let holder = {
             let state = self.state.borrow();
-            let heard = state.peers.lease_holder(now).map(|(vm, _)| vm);
-            let told = state.placement.holder.as_ref();
-            heard.or(told).and_then(|vm| state.peers.address(vm))
+            let live_holder = state.peers.lease_holder(now).map(|(vm, _)| vm);
+            let last_sender = state.placement.holder.as_ref();
+            live_holder
+                .or(last_sender)
+                .and_then(|vm| state.peers.address(vm))
         };
         if let Some(address) = holder {
             let message = PeerMessage::AdapterWanted {
--- a/crates/clementinepond_entry/src/node/run_news.rs
+++ b/crates/clementinepond_entry/src/node/run_update.rs
@@ -1,7 +1,7 @@
 //! Announcements of requests as they are sent to engines.
 //!
-//! An engine's queue is shorter than the time between two regular news, so VMs
-//! that only knew the news would all turn to the same engine.
+//! An engine's queue is shorter than the time between two regular update, so VMs
+//! that only knew the update would all turn to the same engine.
 
 use super::EntryNode;
 use clementinepond_dispatch::load::{EndpointLoad, NameHash};
@@ -59,23 +59,23 @@
     }
 
     /// Takes over the requests that a peer announces.
-    pub(crate) fn take_runs(&self, from: &VmId, news: RunUpdate, now: LocalTime) {
+    pub(crate) fn apply_runs(&self, from: &VmId, update: RunUpdate, now: LocalTime) {
         let Some(table) = self.table() else {
             return;
         };
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        state.peers.record_contact(from, news.incarnation, now);
-        for run in news.runs {
-            // Use of a process that is not known yet arrives with its first news.
+        state.peers.record_contact(from, update.incarnation, now);
+        for run in update.runs {
+            // Use of a process that is not known yet arrives with its first update.
             if let Some((account, admitted)) = &run.account
                 && let Some(policy) = table.account(account)
                 && let Some(units) =
                     state
                         .peers
-                        .record_admitted(from, news.incarnation, account, *admitted)
+                        .record_admitted(from, update.incarnation, account, *admitted)
             {
-                state.quotas.record_remote(policy, units, now);
+                state.limiter.record_remote(policy, units, now);
             }
             let known = state.directory.get(&run.endpoint);
             let service = known.and_then(|known| table.service(&known.entry.service));
@@ -83,16 +83,20 @@
                 continue;
             };
             let key = NameHash::of(run.endpoint.as_str());
-            let share = EndpointLoad {
+            let run_load = EndpointLoad {
                 runs: 1,
                 context_tokens: run.context_tokens,
             };
             state
                 .loads
-                .start_remote(from, key, share, run.prefill_tokens, now);
-            state
-                .parts
-                .record_prefill(key, run.weights, &run.blocks, engine.kv_capacity, now);
+                .start_remote(from, key, run_load, run.prefill_tokens, now);
+            state.prefix_cache.record_prefill(
+                key,
+                run.weights,
+                &run.blocks,
+                engine.kv_capacity,
+                now,
+            );
         }
     }
 }
--- a/crates/clementinepond_entry/src/node/stats.rs
+++ b/crates/clementinepond_entry/src/node/stats.rs
@@ -12,7 +12,7 @@
     pub(crate) answered: Cell<u64>,
     pub(crate) failed: Cell<u64>,
     pub(crate) refused: Cell<u64>,
-    pub(crate) repeats: Cell<u64>,
+    pub(crate) retries: Cell<u64>,
     pub(crate) caller_left: Cell<u64>,
     pub(crate) store_calls: Cell<u64>,
     pub(crate) orders: Cell<u64>,
--- a/crates/clementinepond_entry/src/peer/mod.rs
+++ b/crates/clementinepond_entry/src/peer/mod.rs
@@ -3,5 +3,5 @@
 mod snapshot;
 mod socket;
 
-pub(crate) use snapshot::{follow_peers, serve_snapshots};
-pub(crate) use socket::{PeerSocket, run_news, run_receiver};
+pub(crate) use snapshot::{fetch_newer_snapshots, serve_snapshots};
+pub(crate) use socket::{PeerSocket, run_heartbeats, run_receiver};
--- a/crates/clementinepond_entry/src/peer/snapshot.rs
+++ b/crates/clementinepond_entry/src/peer/snapshot.rs
@@ -4,7 +4,7 @@
 //! away, takes both from a peer that knows more.
 
 use crate::clock::BootClock;
-use crate::http::{HttpLine, tune_socket};
+use crate::http::{HttpClient, tune_socket};
 use crate::node::{EntryNode, increment};
 use crate::store::{StoreClient, WatchTarget};
 use clementinepond_platform::{CONFIGURATION_KIND, CONFIGURATION_NAME, StoreObject};
@@ -26,9 +26,9 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time that the VM's own watch gets before a peer is asked.
-const PATIENCE: TimeSpan = TimeSpan::from_millis(200);
+const SNAPSHOT_DELAY: TimeSpan = TimeSpan::from_millis(200);
 /// Longest time for a snapshot.
-const CALL_LIMIT: TimeSpan = TimeSpan::from_millis(1_500);
+const CALL_TIMEOUT: TimeSpan = TimeSpan::from_millis(1_500);
 /// Path of the snapshot.
 const SNAPSHOT_PATH: &str = "/snapshot";
 
@@ -137,26 +137,26 @@
 }
 
 /// Takes what peers know more, until the VM ends.
-pub(crate) async fn follow_peers(node: Rc<EntryNode>, stop: CancellationToken) {
+pub(crate) async fn fetch_newer_snapshots(node: Rc<EntryNode>, stop: CancellationToken) {
     let mut client = StoreClient::new(node.settings().store.address);
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = node.peer_news.notified() => {}
+            () = node.heartbeat_received.notified() => {}
         }
-        if node.peer_with_more(BootClock::now()).is_none() {
+        if node.newer_peer(BootClock::now()).is_none() {
             continue;
         }
         let jitter = rand::rng().random_range(100..200);
-        tokio::time::sleep(PATIENCE.fraction(jitter, 100).duration()).await;
+        tokio::time::sleep(SNAPSHOT_DELAY.fraction(jitter, 100).duration()).await;
         if node.is_peer_ahead(WatchTarget::Configuration) && !node.is_watcher(BootClock::now()) {
             read_configuration(&node, &mut client).await;
         }
-        let Some(address) = node.peer_with_more(BootClock::now()) else {
+        let Some(address) = node.newer_peer(BootClock::now()) else {
             continue;
         };
         if let Some(snapshot) = fetch(&node, address).await {
-            take(&node, snapshot, address);
+            apply(&node, snapshot, address);
         }
     }
 }
@@ -165,7 +165,7 @@
 async fn read_configuration(node: &EntryNode, client: &mut StoreClient) {
     increment(&node.stats.store_calls);
     match client.read(CONFIGURATION_KIND, CONFIGURATION_NAME).await {
-        Ok(Some(object)) => node.offer_configuration(&object.spec, "store"),
+        Ok(Some(object)) => node.apply_configuration(&object.spec, "store"),
         Ok(None) => {}
         Err(error) => log::info!("event=configuration_unread error=\"{error}\""),
     }
@@ -181,8 +181,14 @@
         let since = state.endpoint_revision;
         format!("{SNAPSHOT_PATH}?since={since}&configuration={version}")
     };
-    let mut line = HttpLine::new(address);
-    let call = line.call(Method::GET, &path, HeaderMap::new(), Vec::new(), CALL_LIMIT);
+    let mut client = HttpClient::new(address);
+    let call = client.call(
+        Method::GET,
+        &path,
+        HeaderMap::new(),
+        Vec::new(),
+        CALL_TIMEOUT,
+    );
     let reply = match call.await {
         Ok(reply) => reply,
         Err(error) => {
@@ -199,13 +205,13 @@
     }
 }
 
-fn take(node: &EntryNode, snapshot: FleetSnapshot, address: SocketAddrV4) {
+fn apply(node: &EntryNode, snapshot: FleetSnapshot, address: SocketAddrV4) {
     let now = BootClock::now();
     for (vm, address) in &snapshot.vms {
         node.learn_peer(vm, *address, now);
     }
     if let Some(spec) = &snapshot.configuration {
-        node.offer_configuration(spec, "peer");
+        node.apply_configuration(spec, "peer");
     }
     let known = node.state.borrow().endpoint_revision;
     if snapshot.revision <= known {
@@ -222,5 +228,5 @@
         is_deleted: false,
         spec: one.spec,
     });
-    node.take_snapshot(objects.collect(), &snapshot.names, snapshot.revision);
+    node.apply_snapshot(objects.collect(), &snapshot.names, snapshot.revision);
 }
--- a/crates/clementinepond_entry/src/peer/socket.rs
+++ b/crates/clementinepond_entry/src/peer/socket.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends a datagram; a lost one is replaced by the next news.
+    /// Sends a datagram; a lost one is replaced by the next heartbeat.
     pub(crate) fn send(&self, bytes: &[u8], to: SocketAddrV4) {
         if let Err(error) = self.socket.try_send_to(bytes, to.into()) {
             log::debug!("event=message_dropped to={to} error=\"{error}\"");
@@ -73,13 +73,13 @@
             }
         };
         match postcard::from_bytes::<PeerEnvelope>(&buffer[..length]) {
-            Ok(envelope) => take(&node, &socket, envelope, from, started_at),
+            Ok(envelope) => apply(&node, &socket, envelope, from, started_at),
             Err(error) => log::warn!("event=message_malformed from={from} error=\"{error}\""),
         }
     }
 }
 
-fn take(
+fn apply(
     node: &Rc<EntryNode>,
     socket: &PeerSocket,
     envelope: PeerEnvelope,
@@ -92,16 +92,18 @@
     }
     let now = BootClock::now();
     match envelope.message {
-        PeerMessage::Heartbeat(news) => node.take_news(&from, address, news, started_at, now),
-        PeerMessage::Runs(runs) => node.take_runs(&from, runs, now),
-        PeerMessage::Placement(news) => node.take_placement(*news, Some(&from), now),
-        PeerMessage::Entries(news) => node.take_entry_news(news),
-        PeerMessage::AdapterReady(place) => node.take_adapter_ready(place),
+        PeerMessage::Heartbeat(heartbeat) => {
+            node.apply_heartbeat(&from, address, heartbeat, started_at, now)
+        }
+        PeerMessage::Runs(update) => node.apply_runs(&from, update, now),
+        PeerMessage::Placement(update) => node.apply_placement(*update, Some(&from), now),
+        PeerMessage::Entries(update) => node.apply_entry_update(update),
+        PeerMessage::AdapterReady(place) => node.apply_adapter_ready(place),
         PeerMessage::AdapterWanted {
             endpoint,
             model,
             adapter,
-        } => node.take_adapter_wanted(&from, &endpoint, &model, &adapter, now),
+        } => node.apply_adapter_wanted(&from, &endpoint, &model, &adapter, now),
         PeerMessage::Crash { fingerprint } => {
             node.state
                 .borrow_mut()
@@ -111,8 +113,12 @@
     }
 }
 
-/// Sends regular news until the VM ends.
-pub(crate) async fn run_news(node: Rc<EntryNode>, socket: Rc<PeerSocket>, stop: CancellationToken) {
+/// Sends regular heartbeat until the VM ends.
+pub(crate) async fn run_heartbeats(
+    node: Rc<EntryNode>,
+    socket: Rc<PeerSocket>,
+    stop: CancellationToken,
+) {
     let mut number = 0;
     loop {
         let peers: Vec<SocketAddrV4> = {
@@ -133,8 +139,8 @@
         node.sweep_peers(now);
         node.flush_runs(now);
         number += 1;
-        let news = node.own_news(number, now);
-        if let Some(bytes) = socket.encode(PeerMessage::Heartbeat(Box::new(news))) {
+        let heartbeat = node.own_heartbeat(number, now);
+        if let Some(bytes) = socket.encode(PeerMessage::Heartbeat(Box::new(heartbeat))) {
             for peer in peers {
                 socket.send(&bytes, peer);
             }
--- a/crates/clementinepond_entry/src/duty/lease_task.rs
+++ b/crates/clementinepond_entry/src/placement_lease/lease_task.rs
@@ -16,29 +16,29 @@
 /// Name of the lease.
 const LEASE_NAME: &str = "placement";
 /// Time between two looks at the lease.
-const TICK: TimeSpan = TimeSpan::from_millis(100);
-/// Head start of the first VM in line over the last.
+const TICK_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
+/// Head start of the head_start VM in line over the last.
 const STAGGER_RANGE_MS: u64 = 900;
-/// Link that carries the duty of a large fleet, in megabits a second.
-const ENOUGH_LINK_MBPS: f64 = 100.0;
-/// Share of a core that carries the duty of a large fleet.
-const ENOUGH_CPU: f64 = 0.25;
+/// Link that carries the placement_lease of a large fleet, in megabits a second.
+const FULL_LINK_MBPS: f64 = 100.0;
+/// Share of a core that carries the placement_lease of a large fleet.
+const FULL_CPU_SHARE: f64 = 0.25;
 /// Longest time that a small VM leaves to larger ones, in milliseconds.
-const HANDICAP_MS: f64 = 900.0;
+const MAX_CAPACITY_DELAY_MS: f64 = 900.0;
 /// Peers for which the head starts are spread over that range; more peers need
 /// more room, since each try is a call of the store.
-const STAGGER_FLEET: u64 = 20;
+const STAGGER_FLEET_VMS: u64 = 20;
 
 /// Keeps or pursues the lease until the VM stops.
 pub(crate) async fn run_lease(node: Rc<EntryNode>, stop: CancellationToken) {
     let settings = node.settings();
     let stagger = rendezvous_weight(0, settings.vm.as_str()) % STAGGER_RANGE_MS;
-    let first = TimeSpan::from_millis(stagger + handicap(&settings.capacity));
+    let head_start = TimeSpan::from_millis(stagger + capacity_delay_ms(&settings.capacity));
     let lease = PlacementLease::new(
         settings.vm.clone(),
         node.incarnation,
         settings.orders.holder_gap(),
-        first,
+        head_start,
         BootClock::now(),
     );
     node.state.borrow_mut().lease = Some(lease);
@@ -46,41 +46,41 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TICK.duration()) => {}
+            () = tokio::time::sleep(TICK_INTERVAL.duration()) => {}
         }
         let now = BootClock::now();
         let (holder_live, peers) = {
             let state = node.state.borrow();
             (
-                state.hears_holder(now),
+                state.has_live_holder(now),
                 state.peers.peer_counts(now).1 as u64,
             )
         };
-        let head_start = first.fraction(peers.max(STAGGER_FLEET), STAGGER_FLEET);
+        let head_start = head_start.fraction(peers.max(STAGGER_FLEET_VMS), STAGGER_FLEET_VMS);
         let tick = LeaseEvent::Tick {
             holder_live,
             head_start,
         };
         let effects = reduce(&node, tick, now);
-        carry_out(&node, &mut client, effects).await;
+        perform(&node, &mut client, effects).await;
     }
 }
 
 /// Returns the time, in milliseconds, that a small VM leaves to larger ones.
-fn handicap(capacity: &CapacitySettings) -> u64 {
-    let lack = |value: Option<f64>, enough: f64| {
-        value.map_or(0.0, |value| (1.0 - value / enough).clamp(0.0, 1.0))
+fn capacity_delay_ms(capacity: &CapacitySettings) -> u64 {
+    let shortfall = |value: Option<f64>, full: f64| {
+        value.map_or(0.0, |value| (1.0 - value / full).clamp(0.0, 1.0))
     };
-    let lacking =
-        lack(capacity.link_mbps, ENOUGH_LINK_MBPS).max(lack(capacity.cpu_share, ENOUGH_CPU));
-    (lacking * HANDICAP_MS) as u64
+    let largest_shortfall = shortfall(capacity.link_mbps, FULL_LINK_MBPS)
+        .max(shortfall(capacity.cpu_share, FULL_CPU_SHARE));
+    (largest_shortfall * MAX_CAPACITY_DELAY_MS) as u64
 }
 
 /// Gives the lease up before the VM stops.
 pub(crate) async fn release_lease(node: &Rc<EntryNode>) {
     let mut client = StoreClient::new(node.settings().store.address);
     let effects = reduce(node, LeaseEvent::Release, BootClock::now());
-    carry_out(node, &mut client, effects).await;
+    perform(node, &mut client, effects).await;
 }
 
 fn reduce(node: &EntryNode, event: LeaseEvent, now: LocalTime) -> Vec<LeaseEffect> {
@@ -91,7 +91,7 @@
     }
 }
 
-async fn carry_out(node: &Rc<EntryNode>, client: &mut StoreClient, effects: Vec<LeaseEffect>) {
+async fn perform(node: &Rc<EntryNode>, client: &mut StoreClient, effects: Vec<LeaseEffect>) {
     let mut queue: std::collections::VecDeque<LeaseEffect> = effects.into();
     while let Some(effect) = queue.pop_front() {
         let event = match effect {
@@ -104,7 +104,7 @@
             } => {
                 let wait = BootClock::now().until(order_from);
                 log::info!("event=duty_acquired fence={fence} orders_in={wait}");
-                node.start_duty(is_resumed, BootClock::now());
+                node.start_orders(is_resumed, BootClock::now());
                 continue;
             }
             LeaseEffect::Lost => {
@@ -119,7 +119,7 @@
 async fn read(node: &EntryNode, client: &mut StoreClient) -> LeaseEvent {
     increment(&node.stats.store_calls);
     match client.read(LEASE_KIND, LEASE_NAME).await {
-        Ok(Some(object)) => LeaseEvent::Read(stored(object)),
+        Ok(Some(object)) => LeaseEvent::Read(parse_lease(object)),
         Ok(None) => LeaseEvent::Read(StoredLease {
             revision: 0,
             record: None,
@@ -150,7 +150,7 @@
         WriteOutcome::Written(object) => LeaseEvent::Written {
             revision: object.revision,
         },
-        WriteOutcome::Conflict(Some(object)) => LeaseEvent::Conflict(stored(object)),
+        WriteOutcome::Conflict(Some(object)) => LeaseEvent::Conflict(parse_lease(object)),
         WriteOutcome::Conflict(None) => LeaseEvent::Unknown,
         WriteOutcome::Refused(status) => {
             log::debug!("event=lease_refused status={}", status.as_u16());
@@ -163,7 +163,7 @@
     }
 }
 
-fn stored(object: StoreObject) -> StoredLease {
+fn parse_lease(object: StoreObject) -> StoredLease {
     let record = match serde_json::from_value(object.spec) {
         Ok(record) => Some(record),
         Err(error) => {
--- a/crates/clementinepond_entry/src/duty/mod.rs
+++ b/crates/clementinepond_entry/src/placement_lease/mod.rs
@@ -1,4 +1,4 @@
-//! The placement duty: its lease and the orders given under it.
+//! The placement placement_lease: its lease and the orders given under it.
 
 mod lease_task;
 mod order_task;
--- a/crates/clementinepond_entry/src/duty/order_task.rs
+++ b/crates/clementinepond_entry/src/placement_lease/order_task.rs
@@ -1,7 +1,7 @@
 //! Steps of the planners and the orders that follow.
 
 use crate::clock::BootClock;
-use crate::http::{CallFailure, HttpLine};
+use crate::http::{CallFailure, HttpClient};
 use crate::node::{EntryNode, increment};
 use clementinepond_dispatch::fleet::{EndpointEntry, ServiceId};
 use clementinepond_dispatch::health::HealthGrade;
@@ -26,23 +26,23 @@
 /// Time between two steps while nothing wakes the task.
 const STEP_INTERVAL: TimeSpan = TimeSpan::from_millis(60);
 /// Time between two steps while requests wait for adapters.
-const WAITING_INTERVAL: TimeSpan = TimeSpan::from_millis(4);
+const ADAPTER_WAIT_STEP_INTERVAL: TimeSpan = TimeSpan::from_millis(4);
 /// Longest time for an endpoint's answer to an order.
-const ORDER_LIMIT: TimeSpan = TimeSpan::from_millis(400);
-/// Time between two news of placement, which hold the changes since.
-const NEWS_INTERVAL: TimeSpan = TimeSpan::from_millis(300);
-/// Time between two news of all adapters in a small fleet.
-const WHOLE_INTERVAL: TimeSpan = TimeSpan::from_millis(600);
+const ORDER_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
+/// Time between two update of placement, which hold the changes since.
+const UPDATE_INTERVAL: TimeSpan = TimeSpan::from_millis(300);
+/// Time between two update of all adapters in a small fleet.
+const FULL_UPDATE_INTERVAL: TimeSpan = TimeSpan::from_millis(600);
 /// Idle time after which a connection for orders is not used again.
-const LINE_REUSE: TimeSpan = TimeSpan::from_millis(400);
+const CLIENT_MAX_IDLE: TimeSpan = TimeSpan::from_millis(400);
 
 /// Connections for orders, by endpoint.
-type OrderLines = Rc<RefCell<FnvHashMap<EndpointId, (HttpLine, LocalTime)>>>;
+type OrderClients = Rc<RefCell<FnvHashMap<EndpointId, (HttpClient, LocalTime)>>>;
 
-/// Plans and orders while the VM holds the duty.
+/// Plans and orders while the VM holds the placement_lease.
 pub(crate) async fn run_orders(node: Rc<EntryNode>, stop: CancellationToken) {
-    let lines: OrderLines = Rc::default();
-    let mut sent = SentNews::default();
+    let clients: OrderClients = Rc::default();
+    let mut sent = SentUpdate::default();
     loop {
         let has_waits = node
             .state
@@ -51,24 +51,24 @@
             .values()
             .any(|one| one.has_adapter_waits());
         let pause = if has_waits {
-            WAITING_INTERVAL
+            ADAPTER_WAIT_STEP_INTERVAL
         } else {
             STEP_INTERVAL
         };
         tokio::select! {
             () = stop.cancelled() => return,
-            () = node.duty_due.notified() => {}
+            () = node.orders_due.notified() => {}
             () = tokio::time::sleep(pause.duration()) => {}
         }
         let now = BootClock::now();
-        let Some(fence) = node.duty_fence(now) else {
+        let Some(fence) = node.order_fence(now) else {
             continue;
         };
-        let (effects, has_orders) = step(&node, fence, now);
+        let (effects, has_urgent_change) = step(&node, fence, now);
         for effect in effects {
-            carry_out(&node, &lines, effect);
+            perform(&node, &clients, effect);
         }
-        sent.spread(&node, fence, has_orders, now);
+        sent.broadcast(&node, fence, has_urgent_change, now);
     }
 }
 
@@ -106,28 +106,28 @@
             .or_insert_with(|| PlacementPlanner::new(now));
         effects.extend(planner.step(&input, now));
     }
-    let is_news = |effect: &PlannerEffect| matches!(effect, PlannerEffect::MoveStarted { .. });
-    let has_news = effects.iter().any(is_news);
-    (effects, has_news)
+    let is_urgent = |effect: &PlannerEffect| matches!(effect, PlannerEffect::MoveStarted { .. });
+    let has_urgent_change = effects.iter().any(is_urgent);
+    (effects, has_urgent_change)
 }
 
-fn carry_out(node: &Rc<EntryNode>, lines: &OrderLines, effect: PlannerEffect) {
+fn perform(node: &Rc<EntryNode>, clients: &OrderClients, effect: PlannerEffect) {
     match effect {
         PlannerEffect::Send(sent) => {
             let node = Rc::clone(node);
-            let lines = Rc::clone(lines);
-            tokio::task::spawn_local(async move { send(&node, &lines, sent).await });
+            let clients = Rc::clone(clients);
+            tokio::task::spawn_local(async move { send(&node, &clients, sent).await });
         }
         PlannerEffect::ReadStatus { endpoint, address } => {
             let node = Rc::clone(node);
-            let lines = Rc::clone(lines);
+            let clients = Rc::clone(clients);
             tokio::task::spawn_local(async move {
-                read_endpoint_status(&node, &lines, endpoint, address).await;
+                read_endpoint_status(&node, &clients, endpoint, address).await;
             });
         }
         PlannerEffect::AdapterReady { vm, place } => {
             if vm == node.settings().vm {
-                node.take_adapter_ready(place);
+                node.apply_adapter_ready(place);
                 return;
             }
             let address = node.state.borrow().peers.address(&vm);
@@ -149,23 +149,23 @@
 
 /// News of placement as they were last sent.
 #[derive(Debug, Default)]
-struct SentNews {
+struct SentUpdate {
     number: u64,
     adapters: FnvHashSet<AdapterLocation>,
-    whole_due: LocalTime,
-    next: LocalTime,
+    full_update_due: LocalTime,
+    next_update_at: LocalTime,
 }
 
-impl SentNews {
+impl SentUpdate {
     /// Broadcasts the changes; at longer intervals, the whole state.
-    fn spread(&mut self, node: &EntryNode, fence: u64, is_urgent: bool, now: LocalTime) {
-        if !is_urgent && now < self.next {
+    fn broadcast(&mut self, node: &EntryNode, fence: u64, is_urgent: bool, now: LocalTime) {
+        if !is_urgent && now < self.next_update_at {
             return;
         }
-        let mut news = whole_news(node, fence, now);
-        let current: FnvHashSet<AdapterLocation> = news.adapters.drain(..).collect();
-        news.is_complete = now >= self.whole_due;
-        if news.is_complete {
+        let mut update = full_update(node, fence, now);
+        let current: FnvHashSet<AdapterLocation> = update.adapters.drain(..).collect();
+        update.is_complete = now >= self.full_update_due;
+        if update.is_complete {
             let peers = node
                 .state
                 .borrow()
@@ -173,59 +173,60 @@
                 .peer_counts(now)
                 .1
                 .max(SMALL_FLEET_MAX_VMS) as u64;
-            self.whole_due = now + WHOLE_INTERVAL.fraction(peers, SMALL_FLEET_MAX_VMS as u64);
-            news.adapters = current.iter().cloned().collect();
+            self.full_update_due =
+                now + FULL_UPDATE_INTERVAL.fraction(peers, SMALL_FLEET_MAX_VMS as u64);
+            update.adapters = current.iter().cloned().collect();
         } else {
-            news.adapters = current.difference(&self.adapters).cloned().collect();
-            news.removed = self.adapters.difference(&current).cloned().collect();
+            update.adapters = current.difference(&self.adapters).cloned().collect();
+            update.removed = self.adapters.difference(&current).cloned().collect();
         }
         self.adapters = current;
         self.number += 1;
-        self.next = now + NEWS_INTERVAL;
-        news.number = self.number;
-        node.take_placement(news.clone(), None, now);
-        node.broadcast(PeerMessage::Placement(Box::new(news)));
+        self.next_update_at = now + UPDATE_INTERVAL;
+        update.number = self.number;
+        node.apply_placement(update.clone(), None, now);
+        node.broadcast(PeerMessage::Placement(Box::new(update)));
     }
 }
 
-fn whole_news(node: &EntryNode, fence: u64, now: LocalTime) -> PlacementUpdate {
+fn full_update(node: &EntryNode, fence: u64, now: LocalTime) -> PlacementUpdate {
     let state = node.state.borrow();
-    let mut news = PlacementUpdate {
+    let mut update = PlacementUpdate {
         fence,
         ..PlacementUpdate::default()
     };
     for planner in state.planners.values() {
         let more = planner.update(fence, now);
-        news.adapters.extend(more.adapters);
-        news.closing.extend(more.closing);
-        news.loading.extend(more.loading);
+        update.adapters.extend(more.adapters);
+        update.closing.extend(more.closing);
+        update.loading.extend(more.loading);
     }
-    news
+    update
 }
 
-fn take_line(lines: &OrderLines, endpoint: &EndpointId, address: SocketAddrV4) -> HttpLine {
-    let kept = lines.borrow_mut().remove(endpoint);
+fn take_client(clients: &OrderClients, endpoint: &EndpointId, address: SocketAddrV4) -> HttpClient {
+    let kept = clients.borrow_mut().remove(endpoint);
     match kept {
-        Some((line, used_at)) if BootClock::now().since(used_at) < LINE_REUSE => line,
-        _ => HttpLine::new(address),
+        Some((client, used_at)) if BootClock::now().since(used_at) < CLIENT_MAX_IDLE => client,
+        _ => HttpClient::new(address),
     }
 }
 
-async fn send(node: &Rc<EntryNode>, lines: &OrderLines, sent: SentOrder) {
+async fn send(node: &Rc<EntryNode>, clients: &OrderClients, sent: SentOrder) {
     let mut headers = HeaderMap::new();
     write_instance(&mut headers, &sent.endpoint);
     let body = order_body(&sent, &node.settings().vm);
-    let mut line = take_line(lines, &sent.endpoint, sent.address);
+    let mut client = take_client(clients, &sent.endpoint, sent.address);
     // A paused process may find its authority gone here.
-    let reply = if node.duty_fence(BootClock::now()) == Some(sent.fence) {
+    let reply = if node.order_fence(BootClock::now()) == Some(sent.fence) {
         increment(&node.stats.orders);
         node.state.borrow_mut().last_order = Some(BootClock::now());
-        let call = line.call(Method::POST, order_path(), headers, body, ORDER_LIMIT);
+        let call = client.call(Method::POST, order_path(), headers, body, ORDER_TIMEOUT);
         match call.await {
             Ok(answer) => read_order_reply(answer.status),
             Err(CallFailure::NotSent) => OrderReply::NotSent,
             Err(_) => {
-                line.reset();
+                client.reset();
                 OrderReply::Unknown
             }
         }
@@ -233,9 +234,9 @@
         OrderReply::NotSent
     };
     let now = BootClock::now();
-    lines
+    clients
         .borrow_mut()
-        .insert(sent.endpoint.clone(), (line, now));
+        .insert(sent.endpoint.clone(), (client, now));
     log::info!(
         "event=order_answered endpoint={} order={:?} after={} fence={} reply={reply:?}",
         sent.endpoint,
@@ -246,26 +247,26 @@
     with_planner(node, &sent.endpoint, |planner| {
         planner.record_reply(&sent.endpoint, &sent.order, reply, now);
     });
-    node.duty_due.notify_one();
+    node.orders_due.notify_one();
 }
 
 async fn read_endpoint_status(
     node: &Rc<EntryNode>,
-    lines: &OrderLines,
+    clients: &OrderClients,
     endpoint: EndpointId,
     address: SocketAddrV4,
 ) {
-    let asked_at = BootClock::now();
+    let requested_at = BootClock::now();
     let mut headers = HeaderMap::new();
     write_instance(&mut headers, &endpoint);
-    let mut line = take_line(lines, &endpoint, address);
-    let call = line.call(Method::GET, STATUS_PATH, headers, Vec::new(), ORDER_LIMIT);
+    let mut client = take_client(clients, &endpoint, address);
+    let call = client.call(Method::GET, STATUS_PATH, headers, Vec::new(), ORDER_TIMEOUT);
     let answer = call.await;
     let now = BootClock::now();
     match answer {
         Ok(answer) if answer.status == StatusCode::OK => match read_status(&answer.body) {
             Ok(status) => with_planner(node, &endpoint, |planner| {
-                planner.record_status(&endpoint, &status, asked_at, now);
+                planner.record_status(&endpoint, &status, requested_at, now);
             }),
             Err(error) => {
                 log::warn!("event=status_unreadable endpoint={endpoint} error=\"{error}\"");
@@ -276,12 +277,12 @@
             answer.status.as_u16()
         ),
         Err(error) => {
-            line.reset();
+            client.reset();
             log::info!("event=status_failed endpoint={endpoint} error=\"{error}\"");
         }
     }
-    lines.borrow_mut().insert(endpoint, (line, now));
-    node.duty_due.notify_one();
+    clients.borrow_mut().insert(endpoint, (client, now));
+    node.orders_due.notify_one();
 }
 
 fn with_planner(node: &EntryNode, endpoint: &EndpointId, act: impl FnOnce(&mut PlacementPlanner)) {
@@ -298,12 +299,12 @@
 
 impl EntryNode {
     /// Returns the fencing number if this VM may give orders now.
-    pub(crate) fn duty_fence(&self, now: LocalTime) -> Option<u64> {
+    pub(crate) fn order_fence(&self, now: LocalTime) -> Option<u64> {
         self.state.borrow().lease.as_ref()?.fence(now)
     }
 
-    /// Starts the duty anew, or goes on with it after a lapse.
-    pub(crate) fn start_duty(&self, is_resumed: bool, now: LocalTime) {
+    /// Starts the placement_lease anew, or goes on with it after a lapse.
+    pub(crate) fn start_orders(&self, is_resumed: bool, now: LocalTime) {
         let mut state = self.state.borrow_mut();
         for planner in state.planners.values_mut() {
             if is_resumed {
--- a/crates/clementinepond_entry/src/run.rs
+++ b/crates/clementinepond_entry/src/run.rs
@@ -2,10 +2,12 @@
 
 use crate::caller::{StopStages, serve_callers, serve_metrics, serve_readiness};
 use crate::clock::BootClock;
-use crate::duty::{release_lease, run_lease, run_orders};
 use crate::log_sink::flush_log;
 use crate::node::EntryNode;
-use crate::peer::{PeerSocket, follow_peers, run_news, run_receiver, serve_snapshots};
+use crate::peer::{
+    PeerSocket, fetch_newer_snapshots, run_heartbeats, run_receiver, serve_snapshots,
+};
+use crate::placement_lease::{release_lease, run_lease, run_orders};
 use crate::settings::{EntrySettings, ListenSettings, SettingsError};
 use crate::store::{WatchTarget, announce_vm, run_watch};
 use clementinepond_types::TimeSpan;
@@ -21,10 +23,10 @@
 use tokio_util::task::TaskTracker;
 
 /// Connections that may wait to be accepted.
-const ACCEPT_QUEUE: u32 = 1_024;
+const ACCEPT_BACKLOG: u32 = 1_024;
 /// Time from the signal to stop until idle connections are closed; the
 /// balancer asks every second and takes a VM out after two misses.
-const NOTICE_TIME: TimeSpan = TimeSpan::from_millis(2_600);
+const BALANCER_NOTICE_DURATION: TimeSpan = TimeSpan::from_millis(2_600);
 /// Time that is left between the last request's end and the kill.
 const EXIT_MARGIN: TimeSpan = TimeSpan::from_millis(300);
 /// Time between two sweeps of endpoints, connections and log lines.
@@ -85,14 +87,14 @@
     // The cell is empty: the node was just made.
     let _ = node.socket.set(Rc::clone(&socket));
 
-    let duties = CancellationToken::new();
+    let placement_stop = CancellationToken::new();
     let stages = StopStages {
         draining: CancellationToken::new(),
         ended: CancellationToken::new(),
     };
     let ended = stages.ended.clone();
     let tracker = TaskTracker::new();
-    spawn_background(&node, &socket, &duties, &ended);
+    spawn_background(&node, &socket, &placement_stop, &ended);
     tokio::task::spawn_local(serve_readiness(Rc::clone(&node), readiness, ended.clone()));
     tokio::task::spawn_local(serve_metrics(Rc::clone(&node), metrics, ended.clone()));
     tokio::task::spawn_local(serve_snapshots(Rc::clone(&node), snapshots, ended.clone()));
@@ -100,7 +102,7 @@
     tokio::task::spawn_local(callers);
 
     await_stop(&node, &path).await?;
-    stop(&node, duties, stages, tracker).await;
+    stop(&node, placement_stop, stages, tracker).await;
     log::info!("event=vm_stopped");
     Ok(())
 }
@@ -108,7 +110,7 @@
 fn spawn_background(
     node: &Rc<EntryNode>,
     socket: &Rc<PeerSocket>,
-    duties: &CancellationToken,
+    placement_stop: &CancellationToken,
     ended: &CancellationToken,
 ) {
     let node = || Rc::clone(node);
@@ -117,10 +119,10 @@
     tokio::task::spawn_local(watch(WatchTarget::Endpoints));
     tokio::task::spawn_local(announce_vm(node(), ended.clone()));
     tokio::task::spawn_local(run_receiver(node(), Rc::clone(socket), ended.clone()));
-    tokio::task::spawn_local(run_news(node(), Rc::clone(socket), ended.clone()));
-    tokio::task::spawn_local(follow_peers(node(), ended.clone()));
-    tokio::task::spawn_local(run_lease(node(), duties.clone()));
-    tokio::task::spawn_local(run_orders(node(), duties.clone()));
+    tokio::task::spawn_local(run_heartbeats(node(), Rc::clone(socket), ended.clone()));
+    tokio::task::spawn_local(fetch_newer_snapshots(node(), ended.clone()));
+    tokio::task::spawn_local(run_lease(node(), placement_stop.clone()));
+    tokio::task::spawn_local(run_orders(node(), placement_stop.clone()));
     tokio::task::spawn_local(sweep(node(), ended.clone()));
 }
 
@@ -165,15 +167,15 @@
 /// Stops in stages, so that no request is cut.
 async fn stop(
     node: &Rc<EntryNode>,
-    duties: CancellationToken,
+    placement_stop: CancellationToken,
     stages: StopStages,
     tracker: TaskTracker,
 ) {
     let kill_at = BootClock::now() + node.settings().shutdown.grace();
     node.stopping_since.set(Some(BootClock::now()));
-    duties.cancel();
+    placement_stop.cancel();
     release_lease(node).await;
-    tokio::time::sleep(NOTICE_TIME.duration()).await;
+    tokio::time::sleep(BALANCER_NOTICE_DURATION.duration()).await;
     stages.draining.cancel();
     tracker.close();
     let left = BootClock::now().until(kill_at).saturating_sub(EXIT_MARGIN);
@@ -217,7 +219,7 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind((*address).into())?;
-    let listener = socket.listen(ACCEPT_QUEUE)?;
+    let listener = socket.listen(ACCEPT_BACKLOG)?;
     if let SocketAddr::V4(bound) = listener.local_addr()? {
         *address = bound;
     }
--- a/crates/clementinepond_entry/src/settings/entry_settings.rs
+++ b/crates/clementinepond_entry/src/settings/entry_settings.rs
@@ -26,7 +26,7 @@
     pub address: SocketAddrV4,
 }
 
-/// Budget for repeats, over all VMs together.
+/// Budget for retries, over all VMs together.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
--- a/crates/clementinepond_entry/src/store/client.rs
+++ b/crates/clementinepond_entry/src/store/client.rs
@@ -1,6 +1,6 @@
 //! Calls of the store.
 
-use crate::http::{CallFailure, HttpLine};
+use crate::http::{CallFailure, HttpClient};
 use clementinepond_platform::{
     StoreObject, StorePage, list_path, object_body, object_path, read_object, read_page,
     read_watch, watch_path,
@@ -14,7 +14,7 @@
 
 /// Longest time for an answer; the store answers in milliseconds, and in a
 /// quarter of a second while it is slow.
-const CALL_LIMIT: TimeSpan = TimeSpan::from_millis(900);
+const CALL_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
 /// Time that a watch may take beyond its wait.
 const WATCH_SLACK: TimeSpan = TimeSpan::from_millis(700);
 
@@ -44,21 +44,21 @@
     Unknown(CallFailure),
 }
 
-/// A line to the store, for one call at a time.
+/// A http to the store, for one call at a time.
 #[derive(Debug)]
 pub(crate) struct StoreClient {
-    line: HttpLine,
+    http: HttpClient,
 }
 
 impl StoreClient {
     pub(crate) const fn new(address: SocketAddrV4) -> Self {
         Self {
-            line: HttpLine::new(address),
+            http: HttpClient::new(address),
         }
     }
 
     pub(crate) fn reset(&mut self) {
-        self.line.reset();
+        self.http.reset();
     }
 
     /// Lists all objects of a kind.
@@ -71,9 +71,9 @@
         loop {
             let after = objects.last().map(|object| object.name.clone());
             let path = list_path(kind, after.as_deref(), may_be_stale);
-            let body = self.get(&path, CALL_LIMIT).await?;
-            let (page, unread) = read_page(&body).map_err(|_| StoreFailure::Malformed)?;
-            note_unread(kind, unread);
+            let body = self.get(&path, CALL_TIMEOUT).await?;
+            let (page, unreadable) = read_page(&body).map_err(|_| StoreFailure::Malformed)?;
+            log_unreadable(kind, unreadable);
             let is_empty = page.objects.is_empty();
             objects.extend(page.objects);
             if !page.has_more || is_empty {
@@ -95,8 +95,8 @@
     ) -> Result<StorePage, StoreFailure> {
         let path = watch_path(kind, from, wait.millis());
         let body = self.get(&path, wait + WATCH_SLACK).await?;
-        let (page, unread) = read_watch(&body).map_err(|_| StoreFailure::Malformed)?;
-        note_unread(kind, unread);
+        let (page, unreadable) = read_watch(&body).map_err(|_| StoreFailure::Malformed)?;
+        log_unreadable(kind, unreadable);
         Ok(page)
     }
 
@@ -106,7 +106,7 @@
         kind: &str,
         name: &str,
     ) -> Result<Option<StoreObject>, StoreFailure> {
-        match self.get(&object_path(kind, name), CALL_LIMIT).await {
+        match self.get(&object_path(kind, name), CALL_TIMEOUT).await {
             Ok(body) => read_object(&body)
                 .map(Some)
                 .map_err(|_| StoreFailure::Malformed),
@@ -129,8 +129,8 @@
             Some(_) => (Method::PUT, object_path(kind, name)),
         };
         let reply = self
-            .line
-            .call(method, &path, HeaderMap::new(), body, CALL_LIMIT)
+            .http
+            .call(method, &path, HeaderMap::new(), body, CALL_TIMEOUT)
             .await;
         match reply {
             Ok(reply) if reply.status.is_success() => match read_object(&reply.body) {
@@ -143,31 +143,31 @@
             Ok(reply) if reply.status == StatusCode::NOT_FOUND => WriteOutcome::Conflict(None),
             Ok(reply) => WriteOutcome::Refused(reply.status),
             Err(failure) => {
-                self.line.reset();
+                self.http.reset();
                 WriteOutcome::Unknown(failure)
             }
         }
     }
 
-    async fn get(&mut self, path: &str, limit: TimeSpan) -> Result<bytes::Bytes, StoreFailure> {
+    async fn get(&mut self, path: &str, timeout: TimeSpan) -> Result<bytes::Bytes, StoreFailure> {
         let reply = self
-            .line
-            .call(Method::GET, path, HeaderMap::new(), Vec::new(), limit)
+            .http
+            .call(Method::GET, path, HeaderMap::new(), Vec::new(), timeout)
             .await;
         match reply {
             Ok(reply) if reply.status == StatusCode::OK => Ok(reply.body),
             Ok(reply) if reply.status == StatusCode::GONE => Err(StoreFailure::Gone),
             Ok(reply) => Err(StoreFailure::Refused(reply.status)),
             Err(failure) => {
-                self.line.reset();
+                self.http.reset();
                 Err(StoreFailure::Call(failure))
             }
         }
     }
 }
 
-fn note_unread(kind: &str, unread: usize) {
-    if unread > 0 {
-        log::warn!("event=object_malformed kind={kind} count={unread} action=ignored");
+fn log_unreadable(kind: &str, unreadable: usize) {
+    if unreadable > 0 {
+        log::warn!("event=object_malformed kind={kind} count={unreadable} action=ignored");
     }
 }
--- a/crates/clementinepond_entry/src/store/watch.rs
+++ b/crates/clementinepond_entry/src/store/watch.rs
@@ -13,16 +13,16 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time that a watch waits; a store that went silent is noticed after it.
-const WATCH_WAIT: TimeSpan = TimeSpan::from_millis(3_000);
+const WATCH_DURATION: TimeSpan = TimeSpan::from_millis(3_000);
 /// Time between two checks of this VM's role.
-const ROLE_CHECK: TimeSpan = TimeSpan::from_millis(250);
+const ROLE_CHECK_INTERVAL: TimeSpan = TimeSpan::from_millis(250);
 /// Time for which changes collect before the next call fetches them.
-const BATCH_PAUSE: TimeSpan = TimeSpan::from_millis(120);
-/// First pause after a failed call.
-const FIRST_PAUSE_MS: u64 = 80;
-/// Longest pause after failed calls; entries that lapsed are back two seconds
+const BATCH_DELAY: TimeSpan = TimeSpan::from_millis(120);
+/// First retry_delay after a failed call.
+const MIN_RETRY_DELAY_MS: u64 = 80;
+/// Longest retry_delay after failed calls; entries that lapsed are back two seconds
 /// after the store's return, so it must be noticed well before.
-const LONGEST_PAUSE_MS: u64 = 700;
+const MAX_RETRY_DELAY_MS: u64 = 700;
 
 /// Kind of object that is watched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 pub(crate) async fn run_watch(node: Rc<EntryNode>, target: WatchTarget, stop: CancellationToken) {
     let mut client = StoreClient::new(node.settings().store.address);
     let mut revision: Option<u64> = None;
-    let mut pause_ms = FIRST_PAUSE_MS;
+    let mut retry_delay_ms = MIN_RETRY_DELAY_MS;
     let mut failing_since = None;
     let mut listed_at = None;
     while !stop.is_cancelled() {
@@ -56,12 +56,12 @@
         {
             // What a follower remembers of the store's history grows old.
             if failing_since.take().is_some() {
-                node.note_store(true, target.kind());
+                node.record_store_state(true, target.kind());
             }
             client.reset();
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = tokio::time::sleep(ROLE_CHECK.duration()) => continue,
+                () = tokio::time::sleep(ROLE_CHECK_INTERVAL.duration()) => continue,
             }
         }
         increment(&node.stats.store_calls);
@@ -72,7 +72,7 @@
                     .await
                     .map(|page| (page, true)),
                 Some(from) => {
-                    let watch = client.watch(target.kind(), from, WATCH_WAIT);
+                    let watch = client.watch(target.kind(), from, WATCH_DURATION);
                     watch.await.map(|page| (page, false))
                 }
             }
@@ -88,18 +88,18 @@
         match outcome {
             Ok((page, is_list)) => {
                 if failing_since.take().is_some() {
-                    node.note_store(true, target.kind());
+                    node.record_store_state(true, target.kind());
                 }
-                pause_ms = FIRST_PAUSE_MS;
+                retry_delay_ms = MIN_RETRY_DELAY_MS;
                 revision = Some(page.revision.max(revision.unwrap_or(0)));
-                let has_news = !page.objects.is_empty();
+                let has_changes = !page.objects.is_empty();
                 if is_list {
                     listed_at.get_or_insert_with(BootClock::now);
                 }
-                take_page(&node, target, page, is_list);
-                node.note_store_answer(BootClock::now());
-                if has_news && target == WatchTarget::Endpoints {
-                    tokio::time::sleep(node.batch_pause(BATCH_PAUSE).duration()).await;
+                apply_page(&node, target, page, is_list);
+                node.record_store_answer(BootClock::now());
+                if has_changes && target == WatchTarget::Endpoints {
+                    tokio::time::sleep(node.batch_delay(BATCH_DELAY).duration()).await;
                 }
             }
             Err(StoreFailure::Gone) => {
@@ -109,36 +109,36 @@
             Err(error) => {
                 if failing_since.is_none() {
                     failing_since = Some(BootClock::now());
-                    node.note_store(false, target.kind());
+                    node.record_store_state(false, target.kind());
                     log::warn!("event=store_lost kind={} error=\"{error}\"", target.kind());
                 }
                 if matches!(error, StoreFailure::Malformed) {
                     revision = None;
                 }
                 let jitter = rand::rng().random_range(50..100);
-                let pause = TimeSpan::from_millis(pause_ms * jitter / 100);
-                pause_ms = (pause_ms * 2).min(LONGEST_PAUSE_MS);
+                let retry_delay = TimeSpan::from_millis(retry_delay_ms * jitter / 100);
+                retry_delay_ms = (retry_delay_ms * 2).min(MAX_RETRY_DELAY_MS);
                 tokio::select! {
                     () = stop.cancelled() => return,
-                    () = tokio::time::sleep(pause.duration()) => {}
+                    () = tokio::time::sleep(retry_delay.duration()) => {}
                 }
             }
         }
     }
 }
 
-fn take_page(node: &EntryNode, target: WatchTarget, page: StorePage, is_list: bool) {
+fn apply_page(node: &EntryNode, target: WatchTarget, page: StorePage, is_list: bool) {
     match target {
         WatchTarget::Configuration => {
             for object in page.objects {
                 if &*object.name == clementinepond_platform::CONFIGURATION_NAME
                     && !object.is_deleted
                 {
-                    node.offer_configuration(&object.spec, "store");
+                    node.apply_configuration(&object.spec, "store");
                 }
             }
-            node.note_configuration_revision(page.revision);
+            node.record_configuration_revision(page.revision);
         }
-        WatchTarget::Endpoints => node.take_endpoints(page, is_list, "store"),
+        WatchTarget::Endpoints => node.apply_endpoints(page, is_list, "store"),
     }
 }
