--- a/crates/clementinepond_entry/src/caller/stream.rs
+++ b/crates/clementinepond_entry/src/caller/stream.rs
@@ -89,9 +89,13 @@
 /// Outcome of relaying one endpoint's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RelayEnd {
+    /// The endpoint's answer is complete.
     Complete,
+    /// The endpoint's connection was lost.
     Broken,
+    /// The caller disconnected.
     CallerLeft,
+    /// The request's deadline passed.
     TimedOut,
 }
 
@@ -113,12 +117,15 @@
     request: Rc<AdmittedRequest>,
     search: EndpointSearch,
     chunks: mpsc::Sender<Result<Bytes, BrokenAnswer>>,
+    /// Incomplete event of a stream that may be resumed.
     events: EventReader,
+    /// Whether the first chunk of the first answer has arrived.
     has_started: bool,
     timing: StreamTiming,
 }
 
 impl StreamRelay {
+    /// Relays the stream to its end, resuming it at other endpoints if needed.
     async fn run(mut self, started: StartedAnswer) {
         let mut current = started;
         loop {
--- a/crates/clementinepond_entry/src/node/fleet_state.rs
+++ b/crates/clementinepond_entry/src/node/fleet_state.rs
@@ -133,7 +133,7 @@
         let removed: Vec<(Box<str>, u64)> = {
             let state = self.state.borrow();
             let is_removed = |name: &str, known: u64| {
-                known <= revision && !names.iter().any(|one| **one == *name)
+                known <= revision && !names.iter().any(|listed| **listed == *name)
             };
             let all = state.endpoint_specs.iter();
             let missing = all.filter(|(name, (known, _))| is_removed(name, *known));
--- a/crates/clementinepond_entry/src/node/peers.rs
+++ b/crates/clementinepond_entry/src/node/peers.rs
@@ -43,7 +43,7 @@
         let loads = heartbeat.loads.clone();
         let ejected = heartbeat.ejected.clone();
         let expired_order_age = heartbeat.expired_order_age_ms;
-        let Some(uses) = state.peers.record_heartbeat(from, address, heartbeat, now) else {
+        let Some(usages) = state.peers.record_heartbeat(from, address, heartbeat, now) else {
             return;
         };
         if let (Some(age), Some(lease)) = (expired_order_age, &mut state.lease) {
@@ -54,14 +54,17 @@
         }
         state.loads.set_peer(from, loads);
         let table = state.table.clone();
-        for one in uses {
-            let Some(policy) = table.as_ref().and_then(|table| table.account(&one.account)) else {
+        for usage in usages {
+            let Some(policy) = table
+                .as_ref()
+                .and_then(|table| table.account(&usage.account))
+            else {
                 continue;
             };
-            if !one.is_first {
-                state.limiter.record_remote(policy, one.units, now);
+            if !usage.is_first {
+                state.limiter.record_remote(policy, usage.units, now);
             } else if now.since(started_at) < LEVEL_ADOPTION_WINDOW {
-                state.limiter.adopt_level(policy, one.level, now);
+                state.limiter.adopt_level(policy, usage.level, now);
             }
         }
         if !ejected.is_empty() {
--- a/crates/clementinepond_entry/src/node/placement.rs
+++ b/crates/clementinepond_entry/src/node/placement.rs
@@ -32,6 +32,7 @@
     fence: u64,
     /// Number of the last update.
     number: u64,
+    /// Adapters that are loaded.
     adapters: FnvHashSet<AdapterLocation>,
     /// Endpoint and model of each copy that is about to be unloaded.
     closing: FnvHashSet<(NameHash, NameHash)>,
@@ -152,6 +153,9 @@
     }
 
     /// Returns whether another VM holds the placement lease and is live.
+    ///
+    /// In a small fleet the holder must also have been seen within [`HOLDER_TIMEOUT`]; in a
+    /// large one, heartbeats can be further apart than that.
     pub(crate) fn has_live_holder(&self, now: LocalTime) -> bool {
         let is_update_recent = now.since(self.placement.updated_at) < HOLDER_TIMEOUT;
         let is_small = self.peers.peer_counts(now).1 < SMALL_FLEET_MAX_VMS;
--- a/crates/clementinepond_entry/src/peer/snapshot.rs
+++ b/crates/clementinepond_entry/src/peer/snapshot.rs
@@ -227,11 +227,11 @@
         snapshot.revision,
         snapshot.endpoints.len()
     );
-    let objects = snapshot.endpoints.into_iter().map(|one| StoreObject {
-        name: one.name,
-        revision: one.revision,
+    let objects = snapshot.endpoints.into_iter().map(|record| StoreObject {
+        name: record.name,
+        revision: record.revision,
         is_deleted: false,
-        spec: one.spec,
+        spec: record.spec,
     });
     node.apply_snapshot(objects.collect(), &snapshot.names, snapshot.revision);
 }
--- a/crates/clementinepond_entry/src/peer/socket.rs
+++ b/crates/clementinepond_entry/src/peer/socket.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Sends a datagram; it may get lost, since later messages repeat its content.
+    /// Sends a datagram without retrying if it gets lost; heartbeats and placement updates
+    /// are sent again at the next interval anyway.
     pub(crate) fn send(&self, bytes: &[u8], to: SocketAddrV4) {
         if let Err(error) = self.socket.try_send_to(bytes, to.into()) {
             log::debug!("event=message_dropped to={to} error=\"{error}\"");
--- a/crates/clementinepond_entry/src/placement_lease/lease_task.rs
+++ b/crates/clementinepond_entry/src/placement_lease/lease_task.rs
@@ -33,12 +33,12 @@
 pub(crate) async fn run_lease(node: Rc<EntryNode>, stop: CancellationToken) {
     let settings = node.settings();
     let stagger = rendezvous_weight(0, settings.vm.as_str()) % STAGGER_RANGE_MS;
-    let head_start = TimeSpan::from_millis(stagger + capacity_delay_ms(&settings.capacity));
+    let first_delay = TimeSpan::from_millis(stagger + capacity_delay_ms(&settings.capacity));
     let lease = PlacementLease::new(
         settings.vm.clone(),
         node.incarnation,
         settings.orders.holder_gap(),
-        head_start,
+        first_delay,
         BootClock::now(),
     );
     node.state.borrow_mut().lease = Some(lease);
@@ -56,7 +56,7 @@
                 state.peers.peer_counts(now).1 as u64,
             )
         };
-        let head_start = head_start.fraction(peers.max(STAGGER_FLEET_VMS), STAGGER_FLEET_VMS);
+        let head_start = first_delay.fraction(peers.max(STAGGER_FLEET_VMS), STAGGER_FLEET_VMS);
         let tick = LeaseEvent::Tick {
             holder_live,
             head_start,
--- a/crates/clementinepond_entry/src/placement_lease/order_task.rs
+++ b/crates/clementinepond_entry/src/placement_lease/order_task.rs
@@ -49,7 +49,7 @@
             .borrow()
             .planners
             .values()
-            .any(|one| one.has_adapter_waits());
+            .any(|planner| planner.has_adapter_waits());
         let pause = if has_waits {
             ADAPTER_WAIT_STEP_INTERVAL
         } else {
@@ -112,6 +112,7 @@
     (effects, has_urgent_change)
 }
 
+/// Performs an effect of a planner; orders and status reads run in tasks of their own.
 fn perform(node: &Rc<EntryNode>, clients: &OrderClients, effect: PlannerEffect) {
     match effect {
         PlannerEffect::Send(sent) => {
@@ -152,7 +153,9 @@
 #[derive(Debug, Default)]
 struct SentUpdate {
     number: u64,
+    /// Adapters that were loaded at the time.
     adapters: FnvHashSet<AdapterLocation>,
+    /// Time from which the next update is complete.
     full_update_due: LocalTime,
     next_update_at: LocalTime,
 }
