--- a/crates/clementinepond/src/command/assignment.rs
+++ b/crates/clementinepond/src/command/assignment.rs
@@ -26,10 +26,10 @@
     })?;
     let value = serde_json::from_str(text).unwrap_or_else(|_| Value::String(text.to_owned()));
     let pointer = format!("/{}", path.replace('.', "/"));
-    let place = options
+    let target = options
         .pointer_mut(&pointer)
         .ok_or_else(|| CommandError::usage(&format!("{path} is not an option; see --set list")))?;
-    *place = value;
+    *target = value;
     Ok(())
 }
 
--- a/crates/clementinepond/src/command/demo.rs
+++ b/crates/clementinepond/src/command/demo.rs
@@ -60,7 +60,7 @@
     }
     open_log(&command.log_level);
     if command.overhead {
-        return compare(command);
+        return measure_overhead(command);
     }
     let options = DemoOptions {
         deployment,
@@ -74,7 +74,7 @@
     let report = runtime
         .block_on(run_demo(options, |line| println!("demo: {line}")))
         .map_err(|error| CommandError::failed(&error.to_string()))?;
-    print_measures(&report);
+    print_results(&report);
     let line = serde_json::to_string(&report)
         .map_err(|error| CommandError::failed(&format!("{error}; report this as a fault")))?;
     println!("{line}");
@@ -85,7 +85,7 @@
     }
 }
 
-fn compare(command: &DemoCommand) -> Result<ExitCode, CommandError> {
+fn measure_overhead(command: &DemoCommand) -> Result<ExitCode, CommandError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
@@ -113,7 +113,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_measures(report: &DemoReport) {
+fn print_results(report: &DemoReport) {
     println!("answered whole           {:.4}", report.answered_share);
     println!("worst-served account     {:.4}", report.worst_account);
     println!("wrongful refusals        {}", report.wrongful_refusals);
--- a/crates/clementinepond/src/command/model.rs
+++ b/crates/clementinepond/src/command/model.rs
@@ -34,11 +34,11 @@
         print_list();
         return Ok(ExitCode::SUCCESS);
     }
-    let chosen: Vec<&SpecificationEntry> = SPECIFICATIONS
+    let selected: Vec<&SpecificationEntry> = SPECIFICATIONS
         .iter()
         .filter(|entry| name.is_none_or(|name| name == entry.name))
         .collect();
-    if chosen.is_empty() {
+    if selected.is_empty() {
         return Err(CommandError::usage(
             "the specification is unknown; 'clementinepond model list' names them",
         ));
@@ -48,8 +48,8 @@
     } else {
         Bounds::Small
     };
-    let mut is_breached = false;
-    for entry in chosen {
+    let mut is_violated = false;
+    for entry in selected {
         let report = entry
             .explore(bounds, options.mutation.as_deref())
             .map_err(|error| CommandError::usage(&error.to_string()))?;
@@ -62,12 +62,12 @@
         match &report.violation {
             None => println!("{}: every invariant holds", entry.name),
             Some(counterexample) => {
-                is_breached = true;
+                is_violated = true;
                 println!("{}: {counterexample}", entry.name);
             }
         }
     }
-    Ok(ExitCode::from(if is_breached { EXIT_FAILURE } else { 0 }))
+    Ok(ExitCode::from(if is_violated { EXIT_FAILURE } else { 0 }))
 }
 
 fn print_list() {
--- a/crates/clementinepond/src/command/soak.rs
+++ b/crates/clementinepond/src/command/soak.rs
@@ -45,19 +45,22 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let broken = runtime.block_on(play(options))?;
-    println!("{} seeds, {broken} with a promise broken", options.seeds);
-    Ok(if broken == 0 {
+    let failed_seeds = runtime.block_on(run_seeds(options))?;
+    println!(
+        "{} seeds, {failed_seeds} with a violated guarantee",
+        options.seeds
+    );
+    Ok(if failed_seeds == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-async fn play(options: &SoakCommand) -> Result<u64, CommandError> {
+async fn run_seeds(options: &SoakCommand) -> Result<u64, CommandError> {
     let program = std::env::current_exe()?;
     let seeds: Vec<u64> = (options.first..options.first + options.seeds).collect();
-    let mut broken = 0;
+    let mut failed_seeds = 0;
     for batch in seeds.chunks(options.jobs.max(1)) {
         let mut runs = Vec::new();
         for &seed in batch {
@@ -85,7 +88,7 @@
             if report.violations.is_empty() {
                 continue;
             }
-            broken += 1;
+            failed_seeds += 1;
             for line in report
                 .faults
                 .iter()
@@ -95,5 +98,5 @@
             }
         }
     }
-    Ok(broken)
+    Ok(failed_seeds)
 }
--- a/crates/clementinepond/src/command/stand_in.rs
+++ b/crates/clementinepond/src/command/stand_in.rs
@@ -65,7 +65,7 @@
 
 async fn serve(kind: &str, options: &StandInOptions) -> Result<ExitCode, CommandError> {
     let cancel = CancellationToken::new();
-    let fault =
+    let to_error =
         |error: clementinepond_standin::StandinError| CommandError::failed(&error.to_string());
     let mut assignments = options.set.clone();
     if let Some(listen) = options.listen {
@@ -78,7 +78,7 @@
             let options: PlatformOptions = assign(&assignments)?;
             let server = PlatformServer::start(options, cancel.clone())
                 .await
-                .map_err(fault)?;
+                .map_err(to_error)?;
             let address = server.address();
             _platform = server;
             address
@@ -87,7 +87,7 @@
             let options: EngineOptions = assign(&assignments)?;
             let server = EngineServer::start(options, cancel.clone())
                 .await
-                .map_err(fault)?;
+                .map_err(to_error)?;
             let address = server.address();
             _engine = server;
             address
@@ -96,7 +96,7 @@
             let options: ServiceOptions = assign(&assignments)?;
             let server = ServiceServer::start(options, cancel.clone())
                 .await
-                .map_err(fault)?;
+                .map_err(to_error)?;
             let address = server.address();
             _service = server;
             address
--- a/crates/clementinepond/src/main.rs
+++ b/crates/clementinepond/src/main.rs
@@ -12,14 +12,14 @@
     let line = match CommandLine::parse_args_default(&arguments) {
         Ok(line) => line,
         Err(error) => {
-            output::report(&format!("{error}; see clementinepond --help"));
+            output::print_error(&format!("{error}; see clementinepond --help"));
             return ExitCode::from(output::EXIT_USAGE);
         }
     };
     match run(line) {
         Ok(code) => code,
         Err(error) => {
-            output::report(&error.to_string());
+            output::print_error(&error.to_string());
             ExitCode::from(error.exit_code())
         }
     }
--- a/crates/clementinepond/src/output/mod.rs
+++ b/crates/clementinepond/src/output/mod.rs
@@ -6,7 +6,7 @@
 
 #[cfg(feature = "suite")]
 pub(crate) use log_line::open_log;
-pub(crate) use message::report;
+pub(crate) use message::print_error;
 
 /// Exit code when a run failed or a must-hold broke.
 pub(crate) const EXIT_FAILURE: u8 = 1;
--- a/crates/clementinepond/tests/entry/broken_answers.rs
+++ b/crates/clementinepond/tests/entry/broken_answers.rs
@@ -1,10 +1,10 @@
 //! Answers that are lost, crossed, late or cut.
 
-use crate::support::{Deployment, answer, call_to, whole_stream};
+use crate::support::{Deployment, call_to, complete_stream, expect_answer};
 use clementinepond_platform_standin::{CallOutcome, EndpointFaults, send_call};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_stream_looks_cut() {
+async fn truncated_stream_reaches_caller_as_broken() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resumable_stream_goes_on_elsewhere_without_a_gap() {
+async fn resumable_stream_continues_on_another_endpoint_without_gap() {
     let deployment = Deployment::start(2).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -35,13 +35,13 @@
     }
     let call = call_to("/batch/cut", Some("m0"));
     let attempt = call.attempt.clone();
-    let (status, body) = answer(send_call(entry.callers, call).await);
-    assert_eq!((status, body), (200, whole_stream()));
+    let (status, body) = expect_answer(send_call(entry.callers, call).await);
+    assert_eq!((status, body), (200, complete_stream()));
     assert_eq!(deployment.judge.runs_of(&attempt).len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_not_asked_for_again_unless_that_is_harmless() {
+async fn lost_answer_is_retried_only_on_repeatable_route() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -51,21 +51,21 @@
             ..EndpointFaults::default()
         });
     }
-    let once = call_to("/chat/submit/x", None);
-    let attempt = once.attempt.clone();
-    let (status, _) = answer(send_call(entry.callers, once).await);
+    let single_run = call_to("/chat/submit/x", None);
+    let attempt = single_run.attempt.clone();
+    let (status, _) = expect_answer(send_call(entry.callers, single_run).await);
     // It may have run, so the answer must not promise that it has not.
     assert_eq!(status, 502);
     assert_eq!(deployment.judge.runs_of(&attempt).len(), 1);
-    let harmless = call_to("/read/x", None);
-    let attempt = harmless.attempt.clone();
-    let (status, _) = answer(send_call(entry.callers, harmless).await);
+    let repeatable = call_to("/read/x", None);
+    let attempt = repeatable.attempt.clone();
+    let (status, _) = expect_answer(send_call(entry.callers, repeatable).await);
     assert_eq!(status, 502);
     assert_eq!(deployment.judge.runs_of(&attempt).len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn anothers_answer_never_reaches_the_caller() {
+async fn answer_of_another_request_is_not_forwarded() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -75,13 +75,14 @@
             ..EndpointFaults::default()
         });
     }
-    let (status, body) = answer(send_call(entry.callers, call_to("/chat/submit/x", None)).await);
+    let (status, body) =
+        expect_answer(send_call(entry.callers, call_to("/chat/submit/x", None)).await);
     assert_eq!(status, 502);
     assert!(!body.contains("answer to"), "{body}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_endpoint_costs_a_harmless_request_only_time() {
+async fn repeatable_request_succeeds_despite_silent_endpoint() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -90,13 +91,13 @@
         ..EndpointFaults::default()
     });
     for _ in 0..6 {
-        let (status, _) = answer(send_call(entry.callers, call_to("/read/x", None)).await);
+        let (status, _) = expect_answer(send_call(entry.callers, call_to("/read/x", None)).await);
         assert_eq!(status, 200);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failing_endpoint_is_set_aside() {
+async fn failing_endpoint_is_ejected() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
--- a/crates/clementinepond/tests/entry/callers_leave.rs
+++ b/crates/clementinepond/tests/entry/caller_disconnects.rs
@@ -1,14 +1,19 @@
 //! Callers that leave before their answer is complete.
 
-use crate::support::{Deployment, EntryProcess, call_to, eventually};
+use crate::support::{Deployment, EntryProcess, call_to, wait_until};
 use clementinepond_platform_standin::{CallRequest, EndpointFaults, send_call};
 use std::time::Duration;
 
 /// Sends a call, and leaves as soon as that many endpoints run it.
-async fn leave_at(entry: &EntryProcess, deployment: &Deployment, call: CallRequest, runs: usize) {
+async fn disconnect_during_run(
+    entry: &EntryProcess,
+    deployment: &Deployment,
+    call: CallRequest,
+    runs: usize,
+) {
     let attempt = call.attempt.clone();
     let waiting = tokio::spawn(send_call(entry.callers, call));
-    eventually("the request runs", || {
+    wait_until("the request runs", || {
         deployment.judge.runs_of(&attempt).len() == runs
     })
     .await;
@@ -26,7 +31,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_ends_the_endpoints_work() {
+async fn disconnect_cancels_endpoint_run() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -34,14 +39,14 @@
     for (path, model) in [("/chat/left", Some("m0")), ("/chat/submit/left", None)] {
         let mut call = call_to(path, model);
         call.patience = Duration::from_secs(60);
-        leave_at(&entry, &deployment, call, 1).await;
-        eventually("the work ends", || deployment.judge.open_runs() == 0).await;
+        disconnect_during_run(&entry, &deployment, call, 1).await;
+        wait_until("the work ends", || deployment.judge.open_runs() == 0).await;
     }
     assert!(!entry.has_logged("reason=timed_out"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_caller_left_in_the_middle_ends() {
+async fn disconnect_during_stream_cancels_run() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -49,24 +54,24 @@
     deployment.engines[0].set_pause(Duration::from_secs(5));
     let mut call = call_to("/chat/left", Some("m0"));
     call.patience = Duration::from_secs(60);
-    leave_at(&entry, &deployment, call, 1).await;
-    eventually("the work ends", || deployment.judge.open_runs() == 0).await;
-    eventually("the VM notes it", || {
+    disconnect_during_run(&entry, &deployment, call, 1).await;
+    wait_until("the work ends", || deployment.judge.open_runs() == 0).await;
+    wait_until("the VM notes it", || {
         entry.has_logged("outcome=caller_left")
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_caller_left_goes_to_no_other_endpoint() {
+async fn disconnected_request_is_not_retried() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     set_silent(&deployment);
-    let left = call_to("/read/left", None);
-    let attempt = left.attempt.clone();
-    leave_at(&entry, &deployment, left, 1).await;
+    let disconnected = call_to("/read/left", None);
+    let attempt = disconnected.attempt.clone();
+    disconnect_during_run(&entry, &deployment, disconnected, 1).await;
     // One that stays is sent to the other endpoint after the same silence.
-    leave_at(&entry, &deployment, call_to("/read/staying", None), 2).await;
+    disconnect_during_run(&entry, &deployment, call_to("/read/staying", None), 2).await;
     assert_eq!(deployment.judge.runs_of(&attempt).len(), 1);
 }
--- a/crates/clementinepond/tests/entry/configuration.rs
+++ b/crates/clementinepond/tests/entry/configuration.rs
@@ -1,38 +1,38 @@
 //! Configurations and endpoints that change, with the store and without.
 
-use crate::support::{Deployment, answer, call_to, configuration, eventually};
+use crate::support::{Deployment, call_to, configuration, expect_answer, wait_until};
 use clementinepond_platform_standin::send_call;
 use serde_json::json;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawn_key_stops_working_and_an_older_version_changes_nothing() {
+async fn withdrawn_key_stays_refused_after_older_version() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     let mut withdrawn = configuration(9);
     withdrawn["tenants"][0]["api_keys"] = json!([]);
     deployment.store.put("config", "main", withdrawn);
-    eventually("version 9 is in force", || {
+    wait_until("version 9 is in force", || {
         entry.has_logged("event=configuration_applied version=9")
     })
     .await;
-    let (status, _) = answer(send_call(entry.callers, call_to("/read/x", None)).await);
+    let (status, _) = expect_answer(send_call(entry.callers, call_to("/read/x", None)).await);
     assert_eq!(status, 401);
     // An older version that comes late.
     deployment.store.put("config", "main", configuration(4));
     deployment
         .store
         .put("servers", "mark", json!({ "service": 7 }));
-    eventually("the late version was seen", || {
+    wait_until("the late version was seen", || {
         entry.has_logged("endpoint=mark")
     })
     .await;
-    let (status, _) = answer(send_call(entry.callers, call_to("/read/x", None)).await);
+    let (status, _) = expect_answer(send_call(entry.callers, call_to("/read/x", None)).await);
     assert_eq!(status, 401);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_foreign_writers_change_nothing() {
+async fn malformed_endpoint_entries_are_ignored() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -50,42 +50,42 @@
             .store
             .put("servers", &format!("odd-{index}"), spec);
     }
-    eventually("the last one was seen", || {
+    wait_until("the last one was seen", || {
         entry.has_logged("endpoint=odd-4")
     })
     .await;
     for _ in 0..4 {
-        let (status, _) = answer(send_call(entry.callers, call_to("/read/x", None)).await);
+        let (status, _) = expect_answer(send_call(entry.callers, call_to("/read/x", None)).await);
         assert_eq!(status, 200);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_endpoint_gets_no_more_requests() {
+async fn draining_endpoint_gets_no_new_requests() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     deployment.services[0].drain();
-    eventually("the VM knows", || entry.has_logged("change=Draining")).await;
+    wait_until("the VM knows", || entry.has_logged("change=Draining")).await;
     for _ in 0..10 {
         let call = call_to("/read/x", None);
         let attempt = call.attempt.clone();
-        assert_eq!(answer(send_call(entry.callers, call).await).0, 200);
+        assert_eq!(expect_answer(send_call(entry.callers, call).await).0, 200);
         assert_eq!(deployment.judge.runs_of(&attempt)[0].endpoint, "files-1");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn serving_goes_on_while_the_store_is_away() {
+async fn requests_succeed_while_store_is_unavailable() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     deployment.store.set_down(true);
-    eventually("the VM notices", || entry.has_logged("event=store_lost")).await;
+    wait_until("the VM notices", || entry.has_logged("event=store_lost")).await;
     let before = deployment.store.calls();
     for _ in 0..10 {
         assert_eq!(
-            answer(send_call(entry.callers, call_to("/read/x", None)).await).0,
+            expect_answer(send_call(entry.callers, call_to("/read/x", None)).await).0,
             200
         );
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
@@ -93,14 +93,14 @@
     let calls = deployment.store.calls() - before;
     assert!(calls < 60, "{calls} calls of a store that is away");
     deployment.store.set_down(false);
-    eventually("the VM returns to it", || {
+    wait_until("the VM returns to it", || {
         entry.has_logged("event=store_regained")
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forgotten_history_is_listed_again() {
+async fn compacted_history_is_recovered_by_listing() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -111,24 +111,24 @@
         deployment.store.compact();
     }
     deployment.store.put("config", "main", configuration(20));
-    eventually("the last version is in force", || {
+    wait_until("the last version is in force", || {
         entry.has_logged("event=configuration_applied version=20")
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_store_do_not_stop_the_duty() {
+async fn lost_store_answers_do_not_prevent_lease() {
     let deployment = Deployment::start(1).await;
     deployment.store.lose_answers(3);
     let entry = deployment.entry("vm-1");
     entry.ready().await;
-    eventually("the duty is held", || {
+    wait_until("the duty is held", || {
         entry.has_logged("event=duty_acquired")
     })
     .await;
     let engines = deployment.engines.clone();
-    eventually("m1 is loaded", || {
+    wait_until("m1 is loaded", || {
         engines[0].models().contains(&"m1".to_owned())
     })
     .await;
--- a/crates/clementinepond/tests/entry/planned_stop.rs
+++ b/crates/clementinepond/tests/entry/graceful_shutdown.rs
@@ -1,11 +1,11 @@
 //! Planned stops cut nothing.
 
-use crate::support::{Deployment, answer, call_to, is_ready, whole_stream};
+use crate::support::{Deployment, call_to, complete_stream, expect_answer, is_ready};
 use clementinepond_platform_standin::{CallOutcome, send_call};
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_answer_and_takes_no_late_stream() {
+async fn graceful_shutdown_truncates_no_stream() {
     let deployment = Deployment::start(2).await;
     let mut entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -29,13 +29,13 @@
     }
     assert!(!is_ready(entry.readiness).await);
     for task in running {
-        assert_eq!(answer(task.await.unwrap()), (200, whole_stream()));
+        assert_eq!(expect_answer(task.await.unwrap()), (200, complete_stream()));
     }
     for (attempt, task) in later {
         let runs = deployment.judge.runs_of(&attempt).len();
         match task.await.unwrap() {
             CallOutcome::Answer { status, body, .. } if status == 200 => {
-                assert_eq!(body, whole_stream());
+                assert_eq!(body, complete_stream());
             }
             CallOutcome::Answer { status, .. } => {
                 assert_eq!(status, 503);
--- a/crates/clementinepond/tests/entry/main.rs
+++ b/crates/clementinepond/tests/entry/main.rs
@@ -7,9 +7,9 @@
 )]
 
 mod broken_answers;
-mod callers_leave;
+mod caller_disconnects;
 mod configuration;
-mod planned_stop;
+mod graceful_shutdown;
 mod refusals;
+mod request_path;
 mod support;
-mod whole_path;
--- a/crates/clementinepond/tests/entry/refusals.rs
+++ b/crates/clementinepond/tests/entry/refusals.rs
@@ -1,10 +1,10 @@
 //! Refusals: what they say must be true.
 
-use crate::support::{Deployment, answer, call_to};
+use crate::support::{Deployment, call_to, expect_answer};
 use clementinepond_platform_standin::{CallOutcome, send_call};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_not_allowed_is_refused_without_a_run() {
+async fn disallowed_requests_are_refused_without_a_run() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -27,7 +27,7 @@
     for (call, expected) in cases {
         let path = call.path.clone();
         assert_eq!(
-            answer(send_call(entry.callers, call).await).0,
+            expect_answer(send_call(entry.callers, call).await).0,
             expected,
             "{path}"
         );
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_tells_when_to_come_back() {
+async fn refusal_states_retry_after() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_account_over_its_quota_is_told_when_to_come_back() {
+async fn request_over_quota_gets_retry_after() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -66,7 +66,7 @@
     // 200 units a call against a burst of 100,000.
     for _ in 0..40 {
         let calls = (0..40).map(|_| send_call(entry.callers, call_to("/read/x", None)));
-        let outcomes = futures_join(calls).await;
+        let outcomes = join_all(calls).await;
         over = outcomes.into_iter().find_map(|outcome| match outcome {
             CallOutcome::Answer {
                 status,
@@ -85,7 +85,7 @@
     }
 }
 
-async fn futures_join<F>(calls: impl Iterator<Item = F>) -> Vec<CallOutcome>
+async fn join_all<F>(calls: impl Iterator<Item = F>) -> Vec<CallOutcome>
 where
     F: Future<Output = CallOutcome> + Send + 'static,
 {
--- a/crates/clementinepond/tests/entry/whole_path.rs
+++ b/crates/clementinepond/tests/entry/request_path.rs
@@ -1,10 +1,10 @@
 //! Requests of every kind, from caller to endpoint and back.
 
-use crate::support::{Deployment, answer, call_to, eventually, whole_stream};
+use crate::support::{Deployment, call_to, complete_stream, expect_answer, wait_until};
 use clementinepond_platform_standin::send_call;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_kind_of_request_is_answered_whole() {
+async fn every_request_kind_gets_complete_answer() {
     let deployment = Deployment::start(2).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
@@ -16,10 +16,10 @@
     ] {
         let call = call_to(path, model);
         let attempt = call.attempt.clone();
-        let (status, body) = answer(send_call(entry.callers, call).await);
+        let (status, body) = expect_answer(send_call(entry.callers, call).await);
         assert_eq!(status, 200, "{path}: {body}");
         let expected = match model {
-            Some(_) => whole_stream(),
+            Some(_) => complete_stream(),
             None => format!("answer to {attempt}"),
         };
         assert_eq!(body, expected);
@@ -31,29 +31,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_model_without_a_copy_is_loaded_and_then_served() {
+async fn unloaded_model_is_loaded_and_served() {
     let deployment = Deployment::start(2).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     let engines = deployment.engines.clone();
-    eventually("m1 is loaded somewhere", || {
+    wait_until("m1 is loaded somewhere", || {
         engines
             .iter()
             .any(|engine| engine.models().contains(&"m1".to_owned()))
     })
     .await;
-    eventually("the entry VM knows", || entry.has_logged("change=Updated")).await;
-    let (status, _) = answer(send_call(entry.callers, call_to("/chat/rare", Some("m1"))).await);
+    wait_until("the entry VM knows", || entry.has_logged("change=Updated")).await;
+    let (status, _) =
+        expect_answer(send_call(entry.callers, call_to("/chat/rare", Some("m1"))).await);
     assert_eq!(status, 200);
     assert_eq!(deployment.judge.violations(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_adapter_is_loaded_on_demand_within_its_slots() {
+async fn adapters_are_loaded_on_demand_within_slots() {
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
-    eventually("the VM holds the duty", || {
+    wait_until("the VM holds the duty", || {
         entry.has_logged("event=duty_acquired")
     })
     .await;
@@ -63,7 +64,7 @@
         let mut status = 0;
         for _ in 0..20 {
             let call = call_to("/chat/adapter", Some(&model));
-            status = answer(send_call(entry.callers, call).await).0;
+            status = expect_answer(send_call(entry.callers, call).await).0;
             if status == 200 {
                 break;
             }
@@ -75,16 +76,16 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_vms_learn_of_each_other_and_one_orders() {
+async fn two_vms_learn_of_each_other_and_one_holds_lease() {
     let deployment = Deployment::start(2).await;
     let (first, second) = (deployment.entry("vm-1"), deployment.entry("vm-2"));
     first.ready().await;
     second.ready().await;
-    eventually("they meet", || {
+    wait_until("they meet", || {
         first.has_logged("event=peer_learned") && second.has_logged("event=peer_learned")
     })
     .await;
-    eventually("one holds the duty", || {
+    wait_until("one holds the duty", || {
         first.has_logged("event=duty_acquired") != second.has_logged("event=duty_acquired")
     })
     .await;
--- a/crates/clementinepond/tests/entry/support.rs
+++ b/crates/clementinepond/tests/entry/support.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Waits end at this limit only when something is wrong.
-const PATIENCE: Duration = Duration::from_secs(30);
+const STATE_TIMEOUT: Duration = Duration::from_secs(30);
 
 static ATTEMPTS: AtomicU32 = AtomicU32::new(0);
 static FILES: AtomicU32 = AtomicU32::new(0);
@@ -97,7 +97,7 @@
     }
 
     pub(crate) async fn ended(&mut self) {
-        eventually("the VM ends", || self.child.try_wait().unwrap().is_some()).await;
+        wait_until("the VM ends", || self.child.try_wait().unwrap().is_some()).await;
     }
 
     /// Waits until the VM says that it is ready.
@@ -203,7 +203,7 @@
 }
 
 /// Returns status and body of a whole answer.
-pub(crate) fn answer(outcome: CallOutcome) -> (u16, String) {
+pub(crate) fn expect_answer(outcome: CallOutcome) -> (u16, String) {
     match outcome {
         CallOutcome::Answer { status, body, .. } => (status.as_u16(), body),
         other => panic!("no whole answer: {other:?}"),
@@ -211,15 +211,15 @@
 }
 
 /// Writes all events of a whole stream.
-pub(crate) fn whole_stream() -> String {
+pub(crate) fn complete_stream() -> String {
     (1..=8)
         .map(|id| format!("id: {id}\ndata: piece {id}\n\n"))
         .collect()
 }
 
 /// Waits for a state.
-pub(crate) async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = tokio::time::Instant::now() + PATIENCE;
+pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let until = tokio::time::Instant::now() + STATE_TIMEOUT;
     while !holds() {
         assert!(tokio::time::Instant::now() < until, "never: {what}");
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/clementinepond/tests/log_events.rs
+++ b/crates/clementinepond/tests/log_events.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_reference_lists_every_log_event() {
+fn reference_lists_every_log_event() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut found = BTreeSet::new();
     collect(&crates.join("clementinepond_daemon/src"), &mut found);
--- a/crates/clementinepond/tests/processes.rs
+++ b/crates/clementinepond/tests/processes.rs
@@ -92,7 +92,7 @@
     .to_string()
 }
 
-async fn wait_ready(client: &reqwest::Client, vm: &TestProcess) {
+async fn wait_until_ready(client: &reqwest::Client, vm: &TestProcess) {
     let url = format!("http://{}/readyz", vm.value("admin"));
     loop {
         let answer = client.get(&url).send().await;
@@ -103,7 +103,7 @@
     }
 }
 
-async fn complete(client: &reqwest::Client, vm: &TestProcess) -> u16 {
+async fn request_completion(client: &reqwest::Client, vm: &TestProcess) -> u16 {
     let body = json!({"model": "ledger", "prompt": "x", "max_tokens": 4});
     let answer = client
         .post(format!("http://{}/v1/completions", vm.value("caller")))
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn vms_serve_on_when_one_is_killed_and_stop_gracefully() {
+async fn remaining_vm_serves_after_kill_and_stops_gracefully() {
     let folder = std::env::temp_dir().join(format!("clementinepond-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let platform = TestProcess::start(&["stand-in", "platform"]);
@@ -147,11 +147,11 @@
         vms.push(TestProcess::start(&["serve", "--settings", &file]));
     }
     for vm in &vms {
-        wait_ready(&client, vm).await;
-        assert_eq!(complete(&client, vm).await, 200);
+        wait_until_ready(&client, vm).await;
+        assert_eq!(request_completion(&client, vm).await, 200);
     }
     drop(vms.remove(0));
-    assert_eq!(complete(&client, &vms[0]).await, 200);
+    assert_eq!(request_completion(&client, &vms[0]).await, 200);
     assert_eq!(vms.remove(0).terminate(), Some(0));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/clementinepond_settings/src/fault/reader.rs
+++ b/crates/clementinepond_settings/src/fault/reader.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 /// Faults after which reading stops.
-const FAULT_LIMIT: usize = 100;
+const READ_ATTEMPT_LIMIT: usize = 100;
 
 /// Reads a value, collecting a fault for each member that does not fit.
 pub(crate) fn read_object<T: DeserializeOwned>(
@@ -16,15 +16,16 @@
     faults: &mut FaultList,
 ) -> Option<T> {
     let before = faults.faults.len();
-    for _ in 0..FAULT_LIMIT {
+    for _ in 0..READ_ATTEMPT_LIMIT {
         let error = match serde_path_to_error::deserialize::<_, T>(value.clone()) {
             Ok(read) => return (faults.faults.len() == before).then_some(read),
             Err(error) => error,
         };
         let path = error.path().to_string();
         let problem = error.inner().to_string();
-        let is_repeat = problem.starts_with("missing field") && faults.faults.len() > before;
-        if !is_repeat {
+        let may_be_caused_by_removal =
+            problem.starts_with("missing field") && faults.faults.len() > before;
+        if !may_be_caused_by_removal {
             faults.push(&path, &problem, "correct the value");
         }
         if !remove(&mut value, &path) {
--- a/crates/clementinepond_settings/src/fault/setting_fault.rs
+++ b/crates/clementinepond_settings/src/fault/setting_fault.rs
@@ -5,10 +5,10 @@
 
 /// One fault in a settings file or a configuration.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord)]
-#[display("{place}: {problem}; {remedy}")]
+#[display("{path}: {problem}; {remedy}")]
 pub struct SettingFault {
     /// Path of the faulty value.
-    pub place: Box<str>,
+    pub path: Box<str>,
     /// What is wrong.
     pub problem: Box<str>,
     /// What to do about it.
@@ -18,9 +18,9 @@
 impl SettingFault {
     /// Describes a fault.
     #[must_use]
-    pub fn new(place: &str, problem: &str, remedy: &str) -> Self {
+    pub fn new(path: &str, problem: &str, remedy: &str) -> Self {
         Self {
-            place: place.into(),
+            path: path.into(),
             problem: problem.into(),
             remedy: remedy.into(),
         }
@@ -36,14 +36,14 @@
 
 impl FaultList {
     /// Adds a fault.
-    pub fn push(&mut self, place: &str, problem: &str, remedy: &str) {
-        self.faults.push(SettingFault::new(place, problem, remedy));
+    pub fn push(&mut self, path: &str, problem: &str, remedy: &str) {
+        self.faults.push(SettingFault::new(path, problem, remedy));
     }
 
     /// Adds a fault unless `holds`.
-    pub fn require(&mut self, holds: bool, place: &str, problem: &str, remedy: &str) {
+    pub fn require(&mut self, holds: bool, path: &str, problem: &str, remedy: &str) {
         if !holds {
-            self.push(place, problem, remedy);
+            self.push(path, problem, remedy);
         }
     }
 
--- a/crates/clementinepond_settings/src/fleet/change.rs
+++ b/crates/clementinepond_settings/src/fleet/change.rs
@@ -55,13 +55,13 @@
     /// Fails when an entry to remove does not exist or the result is not valid.
     pub fn with_change(&self, change: ConfigurationChange) -> Result<Self, ChangeError> {
         let mut changed = self.clone();
-        changed.make(change)?;
+        changed.apply(change)?;
         let mut faults = FaultList::default();
         changed.check(&mut faults);
         faults.into_result(changed).map_err(ChangeError::Invalid)
     }
 
-    fn make(&mut self, change: ConfigurationChange) -> Result<(), ChangeError> {
+    fn apply(&mut self, change: ConfigurationChange) -> Result<(), ChangeError> {
         match change {
             ConfigurationChange::Defaults(defaults) => self.defaults = defaults,
             ConfigurationChange::Exceptions(exceptions) => self.exceptions = exceptions,
--- a/crates/clementinepond_settings/src/fleet/check.rs
+++ b/crates/clementinepond_settings/src/fleet/check.rs
@@ -5,7 +5,7 @@
 use clementinepond_types::{AccountId, EndpointId, MemorySize, ModelId, TokenCount, TokenRate};
 
 /// Parts of every limit that all data centres hold together.
-const LIMIT_PARTS: u32 = 1024;
+const LIMIT_PARTS_TOTAL: u32 = 1024;
 /// Most exceptions that stay readable in one list.
 const EXCEPTION_LIMIT: usize = 64;
 
@@ -27,7 +27,7 @@
             .map(|entry| u64::from(entry.limit_parts))
             .sum();
         faults.require(
-            parts <= u64::from(LIMIT_PARTS),
+            parts <= u64::from(LIMIT_PARTS_TOTAL),
             "data_centres",
             &format!("the limit parts add up to {parts}"),
             "let limit_parts of all data centres add up to at most 1024",
@@ -67,15 +67,15 @@
             );
         }
         for (id, adapter) in &self.adapters {
-            let place = format!("adapters.{id}");
-            self.check_model(&format!("{place}.model"), &adapter.model, faults);
+            let path = format!("adapters.{id}");
+            self.check_model(&format!("{path}.model"), &adapter.model, faults);
             let is_model = self
                 .models
                 .keys()
                 .any(|model| model.as_str() == id.as_str());
             faults.require(
                 !is_model,
-                &place,
+                &path,
                 "a model has the same name",
                 "rename the adapter; callers name both in the same field",
             );
@@ -119,50 +119,50 @@
         }
     }
 
-    fn check_exception(&self, place: &str, exception: &FleetException, faults: &mut FaultList) {
+    fn check_exception(&self, path: &str, exception: &FleetException, faults: &mut FaultList) {
         faults.require(
             !exception.reason.trim().is_empty(),
-            &format!("{place}.reason"),
+            &format!("{path}.reason"),
             "the reason is empty",
             "say why this case differs from the defaults",
         );
         match &exception.change {
             ExceptionChange::AnswerTokens { account, .. } => {
-                self.check_account(place, account, faults);
+                self.check_account(path, account, faults);
             }
             ExceptionChange::ReplicaMinimum { model, .. } => {
-                self.check_model(place, model, faults);
+                self.check_model(path, model, faults);
             }
             ExceptionChange::Pin { model, endpoint }
             | ExceptionChange::Forbid { model, endpoint } => {
-                self.check_model(place, model, faults);
-                self.check_endpoint(place, endpoint, faults);
+                self.check_model(path, model, faults);
+                self.check_endpoint(path, endpoint, faults);
             }
         }
     }
 
-    fn check_account(&self, place: &str, account: &AccountId, faults: &mut FaultList) {
+    fn check_account(&self, path: &str, account: &AccountId, faults: &mut FaultList) {
         faults.require(
             self.accounts.contains_key(account),
-            place,
+            path,
             &format!("account {account} is unknown"),
             "add it to accounts or correct the name",
         );
     }
 
-    fn check_model(&self, place: &str, model: &ModelId, faults: &mut FaultList) {
+    fn check_model(&self, path: &str, model: &ModelId, faults: &mut FaultList) {
         faults.require(
             self.models.contains_key(model),
-            place,
+            path,
             &format!("model {model} is unknown"),
             "add it to models or correct the name",
         );
     }
 
-    fn check_endpoint(&self, place: &str, endpoint: &EndpointId, faults: &mut FaultList) {
+    fn check_endpoint(&self, path: &str, endpoint: &EndpointId, faults: &mut FaultList) {
         faults.require(
             self.endpoints.contains_key(endpoint),
-            place,
+            path,
             &format!("endpoint {endpoint} is unknown"),
             "add it to endpoints or correct the name",
         );
--- a/crates/clementinepond_settings/src/vm/check.rs
+++ b/crates/clementinepond_settings/src/vm/check.rs
@@ -5,11 +5,11 @@
 use clementinepond_types::TimeSpan;
 
 /// Shortest accepted secret, in bytes.
-const SECRET_LENGTH_MIN: usize = 16;
+const SECRET_MIN_BYTES: usize = 16;
 /// Smallest accepted limit of a body, in bytes.
-const BODY_LIMIT_MIN: usize = 1024;
+const BODY_LIMIT_MIN_BYTES: usize = 1024;
 /// Intervals of polls that a loan lives.
-const LOAN_INTERVALS: u64 = 3;
+const LOAN_LIFETIME_POLLS: u64 = 3;
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 impl VmSettings {
@@ -18,14 +18,14 @@
         self.check_peer(faults);
         self.check_caller(faults);
         self.check_request(faults);
-        self.check_spans(faults);
-        self.check_limit(faults);
+        self.check_times(faults);
+        self.check_loan_lifetime(faults);
         self.check_telemetry(faults);
     }
 
     fn check_peer(&self, faults: &mut FaultList) {
         faults.require(
-            self.peer.secret.len() >= SECRET_LENGTH_MIN,
+            self.peer.secret.len() >= SECRET_MIN_BYTES,
             "peer.secret",
             "the secret is shorter than 16 bytes",
             "set the same random secret of 16 or more bytes on every VM",
@@ -42,7 +42,7 @@
 
     fn check_caller(&self, faults: &mut FaultList) {
         faults.require(
-            self.caller.body_limit_bytes >= BODY_LIMIT_MIN,
+            self.caller.body_limit_bytes >= BODY_LIMIT_MIN_BYTES,
             "caller.body_limit_bytes",
             "the limit is below 1024 bytes",
             "set it to at least the largest request",
@@ -70,7 +70,7 @@
         );
     }
 
-    fn check_spans(&self, faults: &mut FaultList) {
+    fn check_times(&self, faults: &mut FaultList) {
         let spans = [
             ("caller.body_timeout", self.caller.body_timeout),
             ("platform.timeout", self.platform.timeout),
@@ -90,21 +90,21 @@
             ("limit.lot_span", self.limit.lot_span),
             ("limit.loan_interval", self.limit.loan_interval),
         ];
-        for (place, span) in spans {
+        for (path, span) in spans {
             faults.require(
                 span > TimeSpan::ZERO,
-                place,
+                path,
                 "the time is zero",
                 "set a time like \"500ms\"",
             );
         }
     }
 
-    fn check_limit(&self, faults: &mut FaultList) {
+    fn check_loan_lifetime(&self, faults: &mut FaultList) {
         let longest = self
             .limit
             .lot_span
-            .max(self.limit.loan_interval.fraction(LOAN_INTERVALS, 1));
+            .max(self.limit.loan_interval.fraction(LOAN_LIFETIME_POLLS, 1));
         faults.require(
             self.membership.loan_span > longest,
             "membership.loan_span",
--- a/crates/clementinepond_settings/tests/fleet.rs
+++ b/crates/clementinepond_settings/tests/fleet.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_exception_needs_a_reason() {
+fn exception_without_reason_is_refused() {
     let change = serde_json::from_value(json!({
         "exceptions": [{"change": {"replica_minimum": {"model": "ledger", "replicas": 2}}, "reason": ""}]
     }))
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn keys_go_with_their_account() {
+fn removing_account_removes_its_keys() {
     let change = ConfigurationChange::Account("coop".parse().unwrap(), None);
     let changed = configuration().with_change(change).unwrap();
     assert!(changed.keys.is_empty());
 }
 
 #[test]
-fn removing_what_does_not_exist_is_an_error() {
+fn removing_unknown_entry_fails() {
     let change = ConfigurationChange::Model("none".parse().unwrap(), None);
     assert_eq!(
         configuration().with_change(change),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_reference_lists_every_setting() {
+fn reference_lists_every_setting() {
     let text = include_str!("../resources/test/fixtures/minimal.jsonc");
     let settings = VmSettings::read_text("minimal", text).unwrap();
     let mut found = BTreeSet::new();
--- a/crates/clementinepond_settings/tests/settings_files.rs
+++ b/crates/clementinepond_settings/tests/settings_files.rs
@@ -5,16 +5,16 @@
 use clementinepond_settings::vm::VmSettings;
 use std::path::Path;
 
-fn verdict(name: &str, text: &str) -> String {
+fn read_result(name: &str, text: &str) -> String {
     match VmSettings::read_text(name, text) {
         Ok(_) => "valid".to_owned(),
         Err(error) => error.to_string(),
     }
 }
 
-fn matches_expectation(path: &Path, text: String) -> datatest_stable::Result<()> {
+fn matches_expected_output(path: &Path, text: String) -> datatest_stable::Result<()> {
     let name = path.file_name().unwrap().to_string_lossy();
-    let found = verdict(&name, &text);
+    let found = read_result(&name, &text);
     let snapshot = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("resources/test/fixtures")
         .join(path.with_extension("expected").file_name().unwrap());
@@ -27,5 +27,5 @@
 }
 
 datatest_stable::harness! {
-    { test = matches_expectation, root = "resources/test/fixtures", pattern = r"\.jsonc$" },
+    { test = matches_expected_output, root = "resources/test/fixtures", pattern = r"\.jsonc$" },
 }
--- a/crates/clementinepond_types/src/quantity/token.rs
+++ b/crates/clementinepond_types/src/quantity/token.rs
@@ -77,10 +77,10 @@
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Returns `parts / whole` of the count, rounded down.
+    /// Returns `numerator / denominator` of the count, rounded down.
     #[must_use]
-    pub fn fraction(self, parts: u64, whole: u64) -> Self {
-        Self(scale(self.0, parts, whole))
+    pub fn fraction(self, numerator: u64, denominator: u64) -> Self {
+        Self(scale(self.0, numerator, denominator))
     }
 }
 
@@ -175,10 +175,10 @@
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Returns `parts / whole` of the rate, rounded down.
+    /// Returns `numerator / denominator` of the rate, rounded down.
     #[must_use]
-    pub fn fraction(self, parts: u64, whole: u64) -> Self {
-        Self(scale(self.0, parts, whole))
+    pub fn fraction(self, numerator: u64, denominator: u64) -> Self {
+        Self(scale(self.0, numerator, denominator))
     }
 }
 
@@ -203,11 +203,11 @@
     }
 }
 
-fn scale(value: u64, parts: u64, whole: u64) -> u64 {
-    if whole == 0 {
+fn scale(value: u64, numerator: u64, denominator: u64) -> u64 {
+    if denominator == 0 {
         return 0;
     }
-    let scaled = u128::from(value) * u128::from(parts) / u128::from(whole);
+    let scaled = u128::from(value) * u128::from(numerator) / u128::from(denominator);
     u64::try_from(scaled).unwrap_or(u64::MAX)
 }
 
--- a/crates/clementinepond_types/src/time/time_span.rs
+++ b/crates/clementinepond_types/src/time/time_span.rs
@@ -83,10 +83,10 @@
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Multiplies by `parts / whole`, rounded down.
+    /// Multiplies by `numerator / denominator`, rounded down.
     #[must_use]
-    pub fn fraction(self, parts: u64, whole: u64) -> Self {
-        let scaled = u128::from(self.0) * u128::from(parts) / u128::from(whole.max(1));
+    pub fn fraction(self, numerator: u64, denominator: u64) -> Self {
+        let scaled = u128::from(self.0) * u128::from(numerator) / u128::from(denominator.max(1));
         Self(u64::try_from(scaled).unwrap_or(u64::MAX))
     }
 
@@ -121,13 +121,13 @@
     fn from_str(text: &str) -> Result<Self, TimeError> {
         UNITS
             .iter()
-            .find_map(|(unit, micros)| read(text, unit, *micros))
+            .find_map(|(unit, micros)| read_with_unit(text, unit, *micros))
             .map(Self)
             .ok_or_else(|| TimeError { text: text.into() })
     }
 }
 
-fn read(text: &str, unit: &str, micros: u64) -> Option<u64> {
+fn read_with_unit(text: &str, unit: &str, micros: u64) -> Option<u64> {
     let number = text.strip_suffix(unit)?.trim();
     if !number.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
--- a/crates/clementinepond_types/tests/text.rs
+++ b/crates/clementinepond_types/tests/text.rs
@@ -3,7 +3,7 @@
 use clementinepond_types::{AccountId, KeyDigest, TimeSpan, TokenCount, TokenRate, VmId};
 
 #[test]
-fn quantities_survive_a_round_trip() {
+fn quantities_round_trip_through_text() {
     for text in ["0tok", "8192tok", "0.5tok", "1.000001tok"] {
         let count: TokenCount = text.parse().unwrap();
         assert_eq!(count.to_string(), text);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn rounding_goes_against_the_spender() {
+fn accrual_rounds_down_and_wait_rounds_up() {
     let rate = TokenRate::from_micro(3);
     assert_eq!(rate.accrue(TimeSpan::from_micros(999_999)).micro(), 2);
     let wait = rate.time_for(TokenCount::from_micro(1)).unwrap();
