--- a/crates/clementinepond/src/command/check.rs
+++ b/crates/clementinepond/src/command/check.rs
@@ -7,21 +7,20 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Options of `check`.
+/// Check a settings file and report its errors.
 #[derive(Debug, Options)]
 pub(crate) struct CheckOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Settings of an entry VM.
-    #[options(no_short, help = "the file holds settings of an entry VM")]
+    /// Whether the file holds settings of an entry VM.
+    #[options(no_short, help = "treat the file as settings of an entry VM")]
     pub(crate) entry: bool,
-    /// Settings file.
-    #[options(required, meta = "FILE", help = "settings to check")]
+    /// Path of the settings file.
+    #[options(required, meta = "FILE", help = "settings file to check")]
     pub(crate) settings: PathBuf,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &CheckOptions) -> Result<ExitCode, CommandError> {
     if options.entry {
         let settings = EntrySettings::read_file(&options.settings).map_err(EntryError::from)?;
--- a/crates/clementinepond/src/command/command_line.rs
+++ b/crates/clementinepond/src/command/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as a whole.
+//! Global options and the list of commands.
 
 #[cfg(feature = "suite")]
 use super::check::CheckOptions;
@@ -25,70 +25,72 @@
 use super::status::StatusOptions;
 use gumdrop::Options;
 
-/// Serves many models from few accelerators.
+/// Serves many models from fewer accelerators.
 #[derive(Debug, Options)]
 pub(crate) struct CommandLine {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Print the version.
+    /// Whether to print the version.
     #[options(no_short, help = "print the version")]
     pub(crate) version: bool,
-    /// The command.
+    /// Command to run; without one the program prints its usage and fails.
     #[options(command)]
     pub(crate) command: Option<Command>,
 }
 
-/// One command with its options.
+/// Command with its options.
 #[derive(Debug, Options)]
 pub(crate) enum Command {
-    /// Run one entry VM.
-    #[options(help = "run one entry VM in front of a hosted fleet")]
+    /// Runs an entry VM.
+    #[options(help = "run an entry VM in front of a hosted fleet")]
     Entry(EntryOptions),
-    /// Run one VM.
+    /// Runs a VM of the full system.
     #[cfg(feature = "suite")]
-    #[options(help = "run one VM")]
+    #[options(help = "run a VM of the full system")]
     Serve(ServeOptions),
-    /// Check a settings file.
+    /// Checks a settings file.
     #[cfg(feature = "suite")]
-    #[options(help = "check a settings file and report every fault")]
+    #[options(help = "check a settings file and report its errors")]
     Check(CheckOptions),
-    /// Run a deployment.
+    /// Runs a complete deployment.
     #[cfg(feature = "suite")]
-    #[options(help = "run a whole deployment in this process, with callers")]
+    #[options(help = "run a complete deployment with simulated callers in this process")]
     Demo(DemoCommand),
-    /// Run a stand-in.
+    /// Runs a stand-in for an external system.
     #[cfg(feature = "suite")]
     #[options(
         name = "stand-in",
-        help = "run a stand-in: platform, engine or service"
+        help = "run a stand-in for a platform, engine or service"
     )]
     StandIn(StandInOptions),
-    /// Play faults.
+    /// Runs fault-injection tests.
     #[cfg(feature = "suite")]
-    #[options(help = "play seeded faults against entry VMs and check what callers get")]
+    #[options(
+        help = "inject seeded faults into a deployment of entry VMs and check the answers to callers"
+    )]
     Soak(SoakCommand),
-    /// Send caller traffic.
+    /// Generates load.
     #[cfg(feature = "suite")]
-    #[options(help = "send caller traffic, open loop")]
+    #[options(help = "send requests at a fixed rate, without waiting for answers")]
     Load(LoadCommand),
-    /// Explore the specification.
+    /// Model-checks the core protocols.
     #[cfg(feature = "suite")]
-    #[options(help = "explore the specification of the core protocol exhaustively")]
+    #[options(help = "model-check the specifications of the core protocols exhaustively")]
     Model(ModelOptions),
-    /// Run an experiment.
+    /// Runs a simulated experiment.
     #[cfg(feature = "suite")]
-    #[options(help = "run one experiment in virtual time; 'measure list' names them")]
+    #[options(help = "run an experiment in simulated time; 'measure list' lists them")]
     Measure(MeasureOptions),
-    /// Show a VM's view.
+    /// Shows the status of a VM.
     #[cfg(feature = "suite")]
-    #[options(help = "show a VM's view of the fleet")]
+    #[options(help = "show a VM's status and its view of the fleet")]
     Status(StatusOptions),
-    /// Write the reference pages.
+    /// Writes the reference pages.
     #[cfg(feature = "suite")]
     #[options(help = "write the reference pages of settings, commands and log events")]
     Reference(ReferenceOptions),
-    /// Print a digest.
+    /// Prints the digest of a credential.
     #[cfg(feature = "suite")]
     #[options(help = "print the digest of a credential read from standard input")]
     Digest(DigestOptions),
--- a/crates/clementinepond/src/command/demo.rs
+++ b/crates/clementinepond/src/command/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: runs a whole deployment in this process.
+//! `demo`: runs a complete deployment in this process.
 
 use super::CommandError;
 use crate::output::{EXIT_FAILURE, open_log};
@@ -7,55 +7,65 @@
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Options of `demo`.
+/// Run a complete deployment with simulated callers in this process.
 #[derive(Debug, Options)]
 pub(crate) struct DemoCommand {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// The deployment.
+    /// Name of the deployment to run.
     #[options(
         no_short,
         meta = "NAME",
         default = "mizuhara",
-        help = "mizuhara or skjabord"
+        help = "deployment to run: mizuhara or skjabord"
     )]
     pub(crate) deployment: String,
-    /// Time during which callers send.
-    #[options(meta = "N", default = "15", help = "seconds during which callers send")]
+    /// Time during which callers send requests, in seconds.
+    #[options(
+        meta = "N",
+        default = "15",
+        help = "seconds during which callers send requests"
+    )]
     pub(crate) seconds: u64,
-    /// Requests a second.
+    /// Requests per second over all callers.
     #[options(
         meta = "N",
         default = "60",
-        help = "requests a second over all callers"
+        help = "requests per second over all callers"
     )]
     pub(crate) rate: f64,
-    /// Seed of the load.
-    #[options(no_short, meta = "N", default = "1", help = "seed of the load")]
+    /// Seed from which the requests are generated.
+    #[options(
+        no_short,
+        meta = "N",
+        default = "1",
+        help = "seed from which the requests are generated"
+    )]
     pub(crate) seed: u64,
-    /// Compare a VM with direct calls.
-    #[options(no_short, help = "compare a VM with direct calls of an engine instead")]
+    /// Whether to measure the overhead of a VM instead of running the deployment.
+    #[options(
+        no_short,
+        help = "measure the overhead of a VM over direct calls to an engine instead"
+    )]
     pub(crate) overhead: bool,
-    /// Least severe level that is logged.
+    /// Minimum severity of log lines.
     #[options(
         no_short,
         meta = "LEVEL",
         default = "off",
-        help = "least severe level that is logged"
+        help = "minimum severity of log lines"
     )]
     pub(crate) log_level: String,
 }
 
-/// Runs the command.
 pub(crate) fn run(command: &DemoCommand) -> Result<ExitCode, CommandError> {
-    let deployment: Deployment = command
-        .deployment
-        .parse()
-        .map_err(|_| CommandError::usage("--deployment is mizuhara or skjabord"))?;
+    let deployment: Deployment = command.deployment.parse().map_err(|_| {
+        CommandError::usage("the deployment is unknown; set --deployment to mizuhara or skjabord")
+    })?;
     if command.seconds == 0 || !command.rate.is_finite() || command.rate <= 0.0 {
         return Err(CommandError::usage(
-            "--seconds and --rate are larger than 0",
+            "--seconds or --rate is not above 0; set both to numbers above 0",
         ));
     }
     open_log(&command.log_level);
@@ -76,7 +86,7 @@
         .map_err(|error| CommandError::failed(&error.to_string()))?;
     print_results(&report);
     let line = serde_json::to_string(&report)
-        .map_err(|error| CommandError::failed(&format!("{error}; report this as a fault")))?;
+        .map_err(|error| CommandError::failed(&format!("{error}; report this as a bug")))?;
     println!("{line}");
     if report.is_sound() {
         Ok(ExitCode::SUCCESS)
@@ -98,7 +108,7 @@
         ("through a VM", &report.through_vm),
     ] {
         println!(
-            "{name:12} answered {} of {}, first token p50 {} p95 {}, whole p50 {} p95 {}",
+            "{name:12} answered {} of {}, first token p50 {} p95 {}, complete answer p50 {} p95 {}",
             load.answered,
             load.sent,
             load.first_token.p50,
@@ -108,20 +118,20 @@
         );
     }
     let line = serde_json::to_string(&report)
-        .map_err(|error| CommandError::failed(&format!("{error}; report this as a fault")))?;
+        .map_err(|error| CommandError::failed(&format!("{error}; report this as a bug")))?;
     println!("{line}");
     Ok(ExitCode::SUCCESS)
 }
 
 fn print_results(report: &DemoReport) {
-    println!("answered whole           {:.4}", report.answered_share);
+    println!("answered completely      {:.4}", report.answered_share);
     println!("worst-served account     {:.4}", report.worst_account);
     println!("wrongful refusals        {}", report.wrongful_refusals);
     println!(
         "attainment/accelerator   {:.3} answers/s",
         report.attainment_per_accelerator
     );
-    println!("moves                    {}", report.moves);
+    println!("model moves              {}", report.moves);
     println!("platform calls           {:.1}/s", report.platform_calls);
     println!(
         "first token              p50 {} p95 {}",
--- a/crates/clementinepond/src/command/entry.rs
+++ b/crates/clementinepond/src/command/entry.rs
@@ -1,4 +1,4 @@
-//! `entry`: runs one entry VM in front of a hosted fleet.
+//! `entry`: runs an entry VM in front of a hosted fleet.
 
 use super::CommandError;
 use clementinepond_entry::{open_log, run_entry};
@@ -7,30 +7,29 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Options of `entry`.
+/// Run an entry VM in front of a hosted fleet.
 #[derive(Debug, Options)]
 pub(crate) struct EntryOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Settings file.
+    /// Path of the settings file of this VM.
     #[options(
         required,
         meta = "FILE",
-        help = "settings of this VM, JSON with comments"
+        help = "settings file of this VM, JSON with comments"
     )]
     pub(crate) settings: PathBuf,
-    /// Log level.
+    /// Minimum severity of log lines.
     #[options(
         no_short,
         meta = "LEVEL",
         default = "info",
-        help = "least level of log lines: error, warn, info, debug or trace"
+        help = "minimum severity of log lines: off, error, warn, info, debug or trace"
     )]
     pub(crate) log_level: LevelFilter,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &EntryOptions) -> Result<ExitCode, CommandError> {
     open_log(options.log_level);
     run_entry(&options.settings)?;
--- a/crates/clementinepond/src/command/error.rs
+++ b/crates/clementinepond/src/command/error.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a command fails.
+//! Errors of the commands.
 
 use crate::output::{EXIT_FAILURE, EXIT_USAGE};
 #[cfg(feature = "suite")]
@@ -8,17 +8,17 @@
 use clementinepond_settings::vm::SettingsError;
 use derive_more::{Display, Error, From};
 
-/// Reason for which a command fails.
+/// Error that ends a command.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum CommandError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[display("{_0}")]
     #[from(skip)]
     Usage(#[error(not(source))] Box<str>),
-    /// The entry VM cannot run.
+    /// The entry VM has invalid settings or failed.
     #[display("{_0}")]
     Entry(EntryError),
-    /// The settings are wrong.
+    /// The settings file cannot be read or is invalid.
     #[cfg(feature = "suite")]
     #[display("{_0}")]
     Settings(SettingsError),
@@ -26,11 +26,11 @@
     #[cfg(feature = "suite")]
     #[display("{_0}")]
     Daemon(DaemonError),
-    /// The operating system refuses something.
+    /// A call to the operating system failed.
     #[cfg(feature = "suite")]
-    #[display("{_0}; check permissions, addresses and space")]
+    #[display("{_0}; check permissions, addresses and free disk space")]
     System(std::io::Error),
-    /// A run failed.
+    /// The run failed.
     #[cfg(feature = "suite")]
     #[display("{_0}")]
     #[from(skip)]
@@ -38,18 +38,18 @@
 }
 
 impl CommandError {
-    /// Describes a wrong command line.
+    /// Creates an error for an invalid command line.
     pub(crate) fn usage(message: &str) -> Self {
         Self::Usage(message.into())
     }
 
-    /// Describes a failed run.
+    /// Creates an error for a failed run.
     #[cfg(feature = "suite")]
     pub(crate) fn failed(message: &str) -> Self {
         Self::Failed(message.into())
     }
 
-    /// Returns the exit code.
+    /// Returns the exit code of the process.
     pub(crate) const fn exit_code(&self) -> u8 {
         match self {
             Self::Usage(_) | Self::Entry(EntryError::Settings(_)) => EXIT_USAGE,
--- a/crates/clementinepond/src/command/load.rs
+++ b/crates/clementinepond/src/command/load.rs
@@ -1,4 +1,4 @@
-//! `load`: sends caller traffic.
+//! `load`: generates load.
 
 use super::CommandError;
 use super::assignment::{assign, list};
@@ -10,41 +10,51 @@
 use std::process::ExitCode;
 use tokio_util::sync::CancellationToken;
 
-/// Options of `load`.
+/// Send requests at a fixed rate, without waiting for answers.
 #[derive(Debug, Options)]
 pub(crate) struct LoadCommand {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// VMs to send to.
-    #[options(meta = "IP:PORT", help = "VM to send to; repeatable, in turn")]
+    /// VMs that get the requests in turn; none leaves the default of the options.
+    #[options(
+        meta = "IP:PORT",
+        help = "VM to send requests to; can be repeated, then VMs take turns"
+    )]
     pub(crate) target: Vec<SocketAddr>,
-    /// Models to ask for.
-    #[options(meta = "NAME", help = "model or adapter to ask for; repeatable")]
+    /// Models and adapters to request.
+    #[options(meta = "NAME", help = "model or adapter to request; can be repeated")]
     pub(crate) model: Vec<String>,
-    /// Requests a second.
-    #[options(meta = "N", default = "10", help = "requests a second")]
+    /// Requests per second.
+    #[options(meta = "N", default = "10", help = "requests per second")]
     pub(crate) rate: f64,
-    /// Time during which requests leave.
+    /// Time during which requests are sent, in seconds.
     #[options(
         meta = "N",
         default = "10",
-        help = "seconds during which requests leave"
+        help = "seconds during which requests are sent"
     )]
     pub(crate) seconds: u64,
-    /// Seed of the plan.
-    #[options(no_short, meta = "N", default = "1", help = "seed of the plan")]
+    /// Seed from which the requests are generated.
+    #[options(
+        no_short,
+        meta = "N",
+        default = "1",
+        help = "seed from which the requests are generated"
+    )]
     pub(crate) seed: u64,
-    /// Further options.
+    /// Further options, as `path=value`.
     #[options(
         no_short,
         meta = "PATH=VALUE",
-        help = "set another option, like timeout=30s; 'list' lists them; repeatable"
+        help = "set another option, like timeout=30s; 'list' lists them; can be repeated"
     )]
     pub(crate) set: Vec<String>,
 }
 
-/// Runs the command; the key comes from CLEMENTINEPOND_KEY.
+/// Generates the load with the key in the environment variable `CLEMENTINEPOND_KEY`.
+///
+/// Without that variable the callers of the options are used.
 pub(crate) fn run(command: &LoadCommand) -> Result<ExitCode, CommandError> {
     if command.set.iter().any(|set| set == "list") {
         print!("{}", list::<LoadOptions>()?);
@@ -55,7 +65,7 @@
         .enable_all()
         .build()?;
     println!(
-        "load: {} requests a second for {}",
+        "load: {} requests per second for {}",
         options.rate, options.duration
     );
     let report = runtime.block_on(run_load(options, CancellationToken::new()));
@@ -69,11 +79,11 @@
         report.between_tokens.p50, report.between_tokens.p95, report.between_tokens.p99
     );
     println!(
-        "whole answer p50 {} p95 {} p99 {}",
+        "complete answer p50 {} p95 {} p99 {}",
         report.whole.p50, report.whole.p95, report.whole.p99
     );
     let line = serde_json::to_string(&report)
-        .map_err(|error| CommandError::failed(&format!("{error}; report this as a fault")))?;
+        .map_err(|error| CommandError::failed(&format!("{error}; report this as a bug")))?;
     println!("{line}");
     if report.wrong == 0 && report.incomplete == 0 {
         Ok(ExitCode::SUCCESS)
@@ -102,7 +112,7 @@
         });
     }
     if options.models.is_empty() {
-        return Err(CommandError::usage("name a model with --model"));
+        return Err(CommandError::usage("no model given; name one with --model"));
     }
     options.rate = command.rate;
     options.duration = TimeSpan::from_secs(command.seconds);
--- a/crates/clementinepond/src/command/log_event.rs
+++ b/crates/clementinepond/src/command/log_event.rs
@@ -3,7 +3,7 @@
 use super::entry_log_event::ENTRY_LOG_EVENTS;
 use std::fmt::Write;
 
-/// One log event.
+/// Log event with its keys and its meaning.
 pub(super) struct LogEvent {
     name: &'static str,
     keys: &'static str,
@@ -14,112 +14,128 @@
     LogEvent { name, keys, about }
 }
 
-/// Every event that a VM logs.
+/// All events that a VM started with `serve` logs.
 const LOG_EVENTS: &[LogEvent] = &[
     event(
         "answer_crossed",
         "request endpoint",
-        "an answer of another request came and was dropped",
+        "an endpoint sent the answer of another request; the answer was dropped",
     ),
     event(
         "attempt_ended",
         "request attempt endpoint outcome",
-        "one attempt at an endpoint ended",
+        "an attempt to serve a request at an endpoint ended",
     ),
     event(
         "cancel_failed",
         "endpoint request error",
-        "an endpoint could not be told to stop a request",
+        "the call that cancels a request at an endpoint failed",
     ),
     event(
         "configuration_applied",
         "version",
-        "a configuration is in force",
+        "a newer configuration was applied",
     ),
     event(
         "configuration_refused",
         "version faults",
-        "a stored configuration does not fit; the one before stays",
+        "a stored configuration is invalid; the previous one stays in force",
     ),
     event(
         "configuration_stored",
         "version",
-        "an operator's change was stored",
+        "a change of the configuration by an operator was stored",
     ),
     event(
         "dispatch_dropped",
         "ticket reason",
-        "an order to send a request came too late",
+        "the deadline for sending a request had passed; nothing was sent",
     ),
     event(
         "effect_unknown",
         "effect",
-        "an effect has no edge; report it as a fault",
+        "the I/O layer cannot carry out an effect; report it as a bug",
+    ),
+    event(
+        "input_dropped",
+        "reason",
+        "an event arrived after the VM had stopped and was dropped",
+    ),
+    event("key_given", "digest version", "an operator created a key"),
+    event(
+        "key_withdrawn",
+        "digest",
+        "a key was withdrawn; requests with it are refused",
+    ),
+    event(
+        "listener_failed",
+        "error",
+        "a listener for callers or operators ended with an error",
+    ),
+    event(
+        "log_kept",
+        "reason",
+        "a logger was installed already; it stays in use",
     ),
-    event("input_dropped", "reason", "an event came after the stop"),
-    event("key_given", "digest version", "an operator gave a key"),
-    event("key_withdrawn", "digest", "a key no longer works"),
-    event("listener_failed", "error", "a listener ended with an error"),
-    event("log_kept", "reason", "the log was opened before"),
     event(
         "message_dropped",
         "from to reason error",
-        "a message between VMs was not sent or not taken",
+        "a message between VMs was not sent, or was received and dropped",
     ),
     event(
         "metrics_failed",
         "error",
-        "metrics could not be written as text",
+        "metrics could not be encoded; the response may be incomplete",
     ),
     event(
         "object_malformed",
         "name version error",
-        "an object of the platform does not fit this version",
+        "an object of the platform cannot be decoded; another version may have written it",
     ),
     event(
         "order_answered",
         "endpoint order reply",
-        "an endpoint answered an order of the plan",
+        "an order of the plan to an endpoint was answered, timed out or failed",
     ),
     event(
         "order_dropped",
         "order reason",
-        "an order of the plan came too late",
+        "the deadline of an order of the plan had passed; nothing was sent",
     ),
     event(
         "peer_learned",
         "peer address",
-        "the address of a VM is known",
+        "a socket to another VM was opened for a new address",
     ),
     event(
         "peer_listener_closed",
         "error",
-        "messages between VMs are no longer taken",
+        "receiving messages from other VMs failed; the listener may have stopped",
     ),
     event(
         "peer_unreachable",
         "peer address error",
-        "no socket to a VM could be opened",
+        "a socket to another VM could not be opened",
     ),
     event(
         "platform_read_failed",
         "error",
-        "the platform gave no answer to a read",
+        "a read from the platform failed",
     ),
     event(
         "platform_watch_failed",
         "error",
-        "the platform gave no answer to a watch",
+        "a watch call to the platform failed",
     ),
     event(
         "platform_write_failed",
         "kind error",
-        "the platform gave no answer to an update",
+        "an update of an object of the platform failed; it may have been applied",
     ),
     event(
         "release_incomplete",
         "remedy",
-        "a stopping VM could not hand everything over",
+        "a stopping VM could not release everything it held in time",
     ),
     event(
         "request_ended",
@@ -129,39 +145,43 @@
     event(
         "request_stopped",
         "ticket reason",
-        "a running request is ended",
+        "a running request is stopped",
+    ),
+    event(
+        "stop_requested",
+        "signal",
+        "the process received SIGTERM or SIGINT",
     ),
-    event("stop_requested", "signal", "the process was told to stop"),
     event(
         "traces_lost",
         "error",
-        "the collector did not get the last spans",
+        "the last spans could not be sent to the collector",
     ),
     event(
         "update_dropped",
         "reason",
-        "an update of the platform came too late",
+        "the deadline of an update to the platform had passed; it was not sent",
     ),
     event(
         "verdict_changed",
         "request released",
-        "a request was condemned or released",
+        "a request fingerprint was blocked after crashes, or released (`released=true`)",
+    ),
+    event(
+        "vm_started",
+        "vm data_centre caller admin",
+        "the VM started and listens",
     ),
-    event("vm_started", "vm data_centre caller admin", "the VM serves"),
-    event("vm_stopped", "", "the VM has stopped"),
+    event("vm_stopped", "", "the VM stopped"),
 ];
 
 /// Returns the reference page as Markdown.
 pub(super) fn log_event_page() -> String {
     let mut page = String::from(
-        "# Log events\n\nGenerated by `clementinepond reference`; do not edit.\n\nEach line is `time=... level=... event=NAME` with these keys.\n",
-    );
-    write_table(
-        &mut page,
-        "Of a VM with its own interface (`serve`)",
-        LOG_EVENTS,
+        "# Log events\n\nGenerated by `clementinepond reference`; do not edit.\n\nEach line is `time=... level=... event=NAME`, followed by keys of the event.\n",
     );
-    write_table(&mut page, "Of an entry VM (`entry`)", ENTRY_LOG_EVENTS);
+    write_table(&mut page, "VM of the full system (`serve`)", LOG_EVENTS);
+    write_table(&mut page, "Entry VM (`entry`)", ENTRY_LOG_EVENTS);
     page
 }
 
--- a/crates/clementinepond/src/command/measure.rs
+++ b/crates/clementinepond/src/command/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: runs one experiment in virtual time.
+//! `measure`: runs an experiment in simulated time.
 
 use super::CommandError;
 use crate::output::EXIT_FAILURE;
@@ -7,21 +7,24 @@
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Options of `measure`.
+/// Run an experiment in simulated time.
 #[derive(Debug, Options)]
 pub(crate) struct MeasureOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Name of the experiment.
-    #[options(free, help = "name of the experiment, or list")]
+    /// Experiment to run; `list` or none prints the experiments.
+    #[options(free, help = "experiment to run, or list to print them (default)")]
     pub(crate) name: Option<String>,
-    /// Seed.
-    #[options(meta = "N", default = "1", help = "seed of the run")]
+    /// Seed of the random number generator.
+    #[options(
+        meta = "N",
+        default = "1",
+        help = "seed of the random number generator"
+    )]
     pub(crate) seed: u64,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &MeasureOptions) -> Result<ExitCode, CommandError> {
     let name = options.name.as_deref().unwrap_or("list");
     if name == "list" {
@@ -32,13 +35,13 @@
     }
     let entry = find(name).ok_or_else(|| {
         CommandError::usage(&format!(
-            "experiment {name} is unknown; 'clementinepond measure list' names them"
+            "experiment {name} is unknown; 'clementinepond measure list' lists the known ones"
         ))
     })?;
     let report = (entry.run)(options.seed);
     print_targets(&report);
     let line = serde_json::to_string(&report)
-        .map_err(|error| CommandError::failed(&format!("{error}; report this as a fault")))?;
+        .map_err(|error| CommandError::failed(&format!("{error}; report this as a bug")))?;
     println!("{line}");
     if report.is_sound() {
         Ok(ExitCode::SUCCESS)
--- a/crates/clementinepond/src/command/mod.rs
+++ b/crates/clementinepond/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one a file.
+//! Commands, one per file.
 
 #[cfg(feature = "suite")]
 mod assignment;
--- a/crates/clementinepond/src/command/model.rs
+++ b/crates/clementinepond/src/command/model.rs
@@ -1,4 +1,4 @@
-//! `model`: explores the specification of the core protocol.
+//! `model`: model-checks the specifications of the core protocols.
 
 use super::CommandError;
 use crate::output::EXIT_FAILURE;
@@ -6,28 +6,30 @@
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Options of `model`.
+/// Model-check the specifications of the core protocols exhaustively.
 #[derive(Debug, Options)]
 pub(crate) struct ModelOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Specification.
-    #[options(free, help = "specification to explore, or list; all when absent")]
+    /// Specification to check; `list` prints the specifications, none checks all.
+    #[options(
+        free,
+        help = "specification to check, or list to print them; all if absent"
+    )]
     pub(crate) name: Option<String>,
-    /// Whether the larger bounds are explored.
-    #[options(no_short, help = "explore the larger bounds")]
+    /// Whether to check within the larger bounds.
+    #[options(no_short, help = "check within the larger bounds")]
     pub(crate) large: bool,
-    /// Guard to remove.
+    /// Name of the guard to remove from the specification.
     #[options(
         no_short,
         meta = "NAME",
-        help = "remove a guard and show the counterexample"
+        help = "remove a guard and show the resulting counterexample"
     )]
     pub(crate) mutation: Option<String>,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &ModelOptions) -> Result<ExitCode, CommandError> {
     let name = options.name.as_deref();
     if name == Some("list") {
@@ -40,7 +42,7 @@
         .collect();
     if selected.is_empty() {
         return Err(CommandError::usage(
-            "the specification is unknown; 'clementinepond model list' names them",
+            "the specification is unknown; 'clementinepond model list' lists the known ones",
         ));
     }
     let bounds = if options.large {
--- a/crates/clementinepond/src/command/run.rs
+++ b/crates/clementinepond/src/command/run.rs
@@ -1,4 +1,4 @@
-//! Choice of the command.
+//! Dispatch of the command line to the commands.
 
 use super::command_line::Command;
 use super::{CommandError, CommandLine, entry};
@@ -7,7 +7,7 @@
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Runs the command that the line names.
+/// Runs the command given on the command line.
 pub(crate) fn run(line: CommandLine) -> Result<ExitCode, CommandError> {
     if line.version {
         println!("clementinepond {}", env!("CARGO_PKG_VERSION"));
@@ -44,7 +44,7 @@
 fn help() -> String {
     let commands = CommandLine::command_list().unwrap_or_default();
     format!(
-        "name a command\n\nUsage: clementinepond [OPTIONS] COMMAND\n\n{}\n\nCommands:\n{commands}",
+        "no command given; use one of those below\n\nUsage: clementinepond [OPTIONS] COMMAND\n\n{}\n\nCommands:\n{commands}",
         CommandLine::usage()
     )
 }
--- a/crates/clementinepond/src/command/serve.rs
+++ b/crates/clementinepond/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: runs one VM.
+//! `serve`: runs a VM of the full system.
 
 use super::CommandError;
 use crate::output::open_log;
@@ -10,18 +10,17 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Options of `serve`.
+/// Run a VM of the full system.
 #[derive(Debug, Options)]
 pub(crate) struct ServeOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Settings file.
-    #[options(required, meta = "FILE", help = "settings of this VM")]
+    /// Path of the settings file of this VM.
+    #[options(required, meta = "FILE", help = "settings file of this VM")]
     pub(crate) settings: PathBuf,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &ServeOptions) -> Result<ExitCode, CommandError> {
     let settings = VmSettings::read_file(&options.settings)?;
     open_log(&settings.telemetry.log_level);
@@ -45,7 +44,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Waits until the process is told to stop.
+/// Waits for SIGTERM or SIGINT.
 pub(super) async fn wait_for_signal() -> Result<(), CommandError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/clementinepond/src/command/soak.rs
+++ b/crates/clementinepond/src/command/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: plays seeded faults against real entry VMs.
+//! `soak`: injects seeded faults into deployments of real entry VMs.
 
 use super::CommandError;
 use clementinepond_soak::{SoakOptions, run_soak};
@@ -7,40 +7,49 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Options of `soak`.
+/// Inject seeded faults into a deployment of entry VMs and check the answers to callers.
 #[derive(Debug, Options)]
 pub(crate) struct SoakCommand {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// First seed.
+    /// First seed; the others follow it.
     #[options(no_short, meta = "SEED", default = "1", help = "first seed")]
     pub(crate) first: u64,
-    /// Number of seeds.
-    #[options(no_short, meta = "N", default = "5", help = "number of seeds")]
+    /// Number of seeds, each of which is one run.
+    #[options(
+        no_short,
+        meta = "N",
+        default = "5",
+        help = "number of seeds, one run each"
+    )]
     pub(crate) seeds: u64,
-    /// Runs at once.
-    #[options(no_short, meta = "N", default = "2", help = "runs at once")]
+    /// Number of concurrent runs; 0 counts as 1.
+    #[options(
+        no_short,
+        meta = "N",
+        default = "2",
+        help = "number of concurrent runs"
+    )]
     pub(crate) jobs: usize,
-    /// Span of the faults.
+    /// Time within which faults start, in seconds.
     #[options(
         no_short,
         meta = "S",
         default = "4",
-        help = "seconds over which faults begin"
+        help = "seconds within which faults start"
     )]
     pub(crate) seconds: u64,
-    /// Folder for logs.
+    /// Folder for settings and logs; each seed gets a subfolder.
     #[options(
         no_short,
         meta = "DIR",
         default = "target/soak",
-        help = "folder for settings and logs of the runs"
+        help = "folder for settings and logs of the runs, with a subfolder per seed"
     )]
     pub(crate) output: PathBuf,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &SoakCommand) -> Result<ExitCode, CommandError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/crates/clementinepond/src/command/stand_in.rs
+++ b/crates/clementinepond/src/command/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stand-in`: runs one stand-in for what surrounds the system.
+//! `stand-in`: runs a stand-in for an external system.
 
 use super::CommandError;
 use super::assignment::{assign, list};
@@ -11,39 +11,38 @@
 use std::process::ExitCode;
 use tokio_util::sync::CancellationToken;
 
-/// Options of `stand-in`.
+/// Run a stand-in for a platform, engine or service.
 #[derive(Debug, Options)]
 pub(crate) struct StandInOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Kind of the stand-in.
-    #[options(free, help = "platform, engine or service")]
+    /// Kind of the stand-in: `platform`, `engine` or `service`.
+    #[options(free, help = "kind of the stand-in: platform, engine or service")]
     pub(crate) kind: Option<String>,
-    /// Address to listen on.
+    /// Address to listen on; any free port if absent.
     #[options(
         meta = "IP:PORT",
-        help = "address to listen on; any free port when absent"
+        help = "address to listen on; any free port if absent"
     )]
     pub(crate) listen: Option<SocketAddr>,
-    /// Options and faults.
+    /// Options and faults to set, as `path=value`.
     #[options(
         no_short,
         meta = "PATH=VALUE",
-        help = "set an option or fault, like faults.late_by=2s; 'list' lists them; repeatable"
+        help = "set an option or fault, like faults.late_by=2s; 'list' lists them; can be repeated"
     )]
     pub(crate) set: Vec<String>,
-    /// Least severe level that is logged.
+    /// Minimum severity of log lines.
     #[options(
         no_short,
         meta = "LEVEL",
         default = "info",
-        help = "least severe level that is logged"
+        help = "minimum severity of log lines"
     )]
     pub(crate) log_level: String,
 }
 
-/// Runs the command.
 pub(crate) fn run(options: &StandInOptions) -> Result<ExitCode, CommandError> {
     let kind = options.kind.as_deref().unwrap_or_default();
     if options.set.iter().any(|set| set == "list") {
@@ -71,7 +70,7 @@
     if let Some(listen) = options.listen {
         assignments.push(format!("listen={listen}"));
     }
-    // The server lives until the end of this function.
+    // Dropping a server stops it; these bindings keep it until this function returns.
     let (_platform, _engine, _service);
     let address = match kind {
         "platform" => {
@@ -110,5 +109,7 @@
 }
 
 fn unknown_kind() -> CommandError {
-    CommandError::usage("name a stand-in: platform, engine or service")
+    CommandError::usage(
+        "the kind of the stand-in is missing or unknown; use platform, engine or service",
+    )
 }
--- a/crates/clementinepond/src/command/status.rs
+++ b/crates/clementinepond/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: shows a VM's view of the fleet.
+//! `status`: shows a VM's status and its view of the fleet.
 
 use super::CommandError;
 use bytes::Bytes;
@@ -13,27 +13,34 @@
 use tabled::builder::Builder;
 use tabled::settings::Style;
 
-/// Longest wait for the answer.
+/// Timeout of the request to the administration API.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Options of `status`.
+/// Show a VM's status and its view of the fleet.
 #[derive(Debug, Options)]
 pub(crate) struct StatusOptions {
-    /// Print help.
+    /// Whether to print help.
     #[options(help = "print help")]
     pub(crate) help: bool,
-    /// Address of the administration API.
-    #[options(required, meta = "URL", help = "administration API, as http://IP:PORT")]
+    /// URL of the administration API of the VM.
+    #[options(
+        required,
+        meta = "URL",
+        help = "administration API of the VM, as http://IP:PORT"
+    )]
     pub(crate) admin: String,
-    /// Print JSON.
-    #[options(no_short, help = "print the answer as JSON")]
+    /// Whether to print the status as JSON.
+    #[options(no_short, help = "print the status as JSON")]
     pub(crate) json: bool,
 }
 
-/// Runs the command; the credential comes from CLEMENTINEPOND_CREDENTIAL.
+/// Prints the status, read with the credential in the environment variable
+/// `CLEMENTINEPOND_CREDENTIAL`.
 pub(crate) fn run(options: &StatusOptions) -> Result<ExitCode, CommandError> {
     let credential = std::env::var("CLEMENTINEPOND_CREDENTIAL").map_err(|_| {
-        CommandError::usage("set CLEMENTINEPOND_CREDENTIAL to the operators' credential")
+        CommandError::usage(
+            "CLEMENTINEPOND_CREDENTIAL is not set; set it to the operator credential",
+        )
     })?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -53,7 +60,9 @@
         .uri(&uri)
         .header("authorization", format!("Bearer {credential}"))
         .body(Full::new(Bytes::new()))
-        .map_err(|error| CommandError::usage(&format!("{uri}: {error}; give http://IP:PORT")))?;
+        .map_err(|error| {
+            CommandError::usage(&format!("{uri}: {error}; write --admin as http://IP:PORT"))
+        })?;
     let client = Client::builder(TokioExecutor::new()).build_http();
     let call = async {
         let response = client
@@ -74,12 +83,14 @@
             "{uri}: {problem}; check the address and the credential"
         ))),
         Err(_) => Err(CommandError::failed(&format!(
-            "{uri}: no answer in 5 s; check that the VM runs"
+            "{uri}: no answer within 5 s; check that the VM is running"
         ))),
     }
 }
 
-/// Returns one table for each list and one for the plain values.
+/// Returns one table of the scalar values and one table for each list of objects.
+///
+/// The first object of a list determines the columns of its table.
 fn table(status: &Value) -> String {
     let mut plain = Builder::default();
     let mut lists = String::new();
--- a/crates/clementinepond/src/main.rs
+++ b/crates/clementinepond/src/main.rs
@@ -1,4 +1,4 @@
-//! The command of clementinepond.
+//! Command-line program of clementinepond.
 
 mod command;
 mod output;
--- a/crates/clementinepond/src/output/log_line.rs
+++ b/crates/clementinepond/src/output/log_line.rs
@@ -1,9 +1,12 @@
-//! Log lines of key=value pairs.
+//! Log lines of `key=value` pairs.
 
 use env_logger::{Builder, Target};
 use std::io::Write;
 
-/// Sends log lines to standard error.
+/// Starts logging to standard error.
+///
+/// Lines below `level` and lines of third-party crates are dropped. Has no effect
+/// when a logger is already installed.
 pub(crate) fn open_log(level: &str) {
     let mut builder = Builder::new();
     builder
--- a/crates/clementinepond/src/output/message.rs
+++ b/crates/clementinepond/src/output/message.rs
@@ -1,9 +1,9 @@
-//! Messages to a person.
+//! Messages for the person who runs the command.
 
 use std::io::Write;
 
-/// Prints a message on standard error.
+/// Prints a message to standard error.
 pub(crate) fn print_error(message: &str) {
-    // Nothing can be done when standard error is closed.
+    // A closed standard error leaves nowhere to report the failure.
     let _ = writeln!(std::io::stderr(), "clementinepond: {message}");
 }
--- a/crates/clementinepond/src/output/mod.rs
+++ b/crates/clementinepond/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! What the command prints: messages, logs and exit codes.
+//! Output of the command: messages, log lines and exit codes.
 
 #[cfg(feature = "suite")]
 mod log_line;
@@ -8,7 +8,7 @@
 pub(crate) use log_line::open_log;
 pub(crate) use message::print_error;
 
-/// Exit code when a run failed or a must-hold broke.
+/// Exit code when a run failed or violated an invariant.
 pub(crate) const EXIT_FAILURE: u8 = 1;
-/// Exit code for a wrong command line or wrong settings.
+/// Exit code for an invalid command line or invalid settings.
 pub(crate) const EXIT_USAGE: u8 = 2;
--- a/crates/clementinepond/tests/entry/broken_answers.rs
+++ b/crates/clementinepond/tests/entry/broken_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are lost, crossed, late or cut.
+//! Answers that are lost, swapped, truncated or never sent.
 
 use crate::support::{Deployment, call_to, complete_stream, expect_answer};
 use clementinepond_platform_standin::{CallOutcome, EndpointFaults, send_call};
@@ -14,7 +14,7 @@
     });
     let outcome = send_call(entry.callers, call_to("/chat/cut", Some("m0"))).await;
     let CallOutcome::Broken { body } = outcome else {
-        panic!("the cut was hidden: {outcome:?}");
+        panic!("the truncated stream did not end as broken: {outcome:?}");
     };
     assert!(
         body.contains("piece 3") && !body.contains("piece 4"),
@@ -54,7 +54,7 @@
     let single_run = call_to("/chat/submit/x", None);
     let attempt = single_run.attempt.clone();
     let (status, _) = expect_answer(send_call(entry.callers, single_run).await);
-    // It may have run, so the answer must not promise that it has not.
+    // The request may have run, so the answer must not be a 503, which states that it did not.
     assert_eq!(status, 502);
     assert_eq!(deployment.judge.runs_of(&attempt).len(), 1);
     let repeatable = call_to("/read/x", None);
--- a/crates/clementinepond/tests/entry/caller_disconnects.rs
+++ b/crates/clementinepond/tests/entry/caller_disconnects.rs
@@ -1,10 +1,10 @@
-//! Callers that leave before their answer is complete.
+//! Callers that disconnect before their answer is complete.
 
 use crate::support::{Deployment, EntryProcess, call_to, wait_until};
 use clementinepond_platform_standin::{CallRequest, EndpointFaults, send_call};
 use std::time::Duration;
 
-/// Sends a call, and leaves as soon as that many endpoints run it.
+/// Sends a call and disconnects as soon as it has started `runs` runs.
 async fn disconnect_during_run(
     entry: &EntryProcess,
     deployment: &Deployment,
@@ -13,7 +13,7 @@
 ) {
     let attempt = call.attempt.clone();
     let waiting = tokio::spawn(send_call(entry.callers, call));
-    wait_until("the request runs", || {
+    wait_until("the request runs on enough endpoints", || {
         deployment.judge.runs_of(&attempt).len() == runs
     })
     .await;
@@ -40,7 +40,7 @@
         let mut call = call_to(path, model);
         call.patience = Duration::from_secs(60);
         disconnect_during_run(&entry, &deployment, call, 1).await;
-        wait_until("the work ends", || deployment.judge.open_runs() == 0).await;
+        wait_until("the runs end", || deployment.judge.open_runs() == 0).await;
     }
     assert!(!entry.has_logged("reason=timed_out"));
 }
@@ -50,13 +50,13 @@
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
-    // By itself the stream would go on until the route's time is over.
+    // Without the disconnect the stream would continue until the route's timeout.
     deployment.engines[0].set_pause(Duration::from_secs(5));
     let mut call = call_to("/chat/left", Some("m0"));
     call.patience = Duration::from_secs(60);
     disconnect_during_run(&entry, &deployment, call, 1).await;
-    wait_until("the work ends", || deployment.judge.open_runs() == 0).await;
-    wait_until("the VM notes it", || {
+    wait_until("the runs end", || deployment.judge.open_runs() == 0).await;
+    wait_until("the VM logs the disconnect", || {
         entry.has_logged("outcome=caller_left")
     })
     .await;
@@ -71,7 +71,7 @@
     let disconnected = call_to("/read/left", None);
     let attempt = disconnected.attempt.clone();
     disconnect_during_run(&entry, &deployment, disconnected, 1).await;
-    // One that stays is sent to the other endpoint after the same silence.
+    // The same request is retried on the other endpoint if its caller stays connected.
     disconnect_during_run(&entry, &deployment, call_to("/read/staying", None), 2).await;
     assert_eq!(deployment.judge.runs_of(&attempt).len(), 1);
 }
--- a/crates/clementinepond/tests/entry/configuration.rs
+++ b/crates/clementinepond/tests/entry/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations and endpoints that change, with the store and without.
+//! Changes of configuration and endpoints, with the store available and unavailable.
 
 use crate::support::{Deployment, call_to, configuration, expect_answer, wait_until};
 use clementinepond_platform_standin::send_call;
@@ -12,18 +12,18 @@
     let mut withdrawn = configuration(9);
     withdrawn["tenants"][0]["api_keys"] = json!([]);
     deployment.store.put("config", "main", withdrawn);
-    wait_until("version 9 is in force", || {
+    wait_until("version 9 is applied", || {
         entry.has_logged("event=configuration_applied version=9")
     })
     .await;
     let (status, _) = expect_answer(send_call(entry.callers, call_to("/read/x", None)).await);
     assert_eq!(status, 401);
-    // An older version that comes late.
+    // An older version that arrives late.
     deployment.store.put("config", "main", configuration(4));
     deployment
         .store
         .put("servers", "mark", json!({ "service": 7 }));
-    wait_until("the late version was seen", || {
+    wait_until("the entry written after the older version is seen", || {
         entry.has_logged("endpoint=mark")
     })
     .await;
@@ -50,7 +50,7 @@
             .store
             .put("servers", &format!("odd-{index}"), spec);
     }
-    wait_until("the last one was seen", || {
+    wait_until("the last entry is seen", || {
         entry.has_logged("endpoint=odd-4")
     })
     .await;
@@ -66,7 +66,10 @@
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     deployment.services[0].drain();
-    wait_until("the VM knows", || entry.has_logged("change=Draining")).await;
+    wait_until("the VM sees the draining endpoint", || {
+        entry.has_logged("change=Draining")
+    })
+    .await;
     for _ in 0..10 {
         let call = call_to("/read/x", None);
         let attempt = call.attempt.clone();
@@ -81,7 +84,10 @@
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     deployment.store.set_down(true);
-    wait_until("the VM notices", || entry.has_logged("event=store_lost")).await;
+    wait_until("the VM detects the outage", || {
+        entry.has_logged("event=store_lost")
+    })
+    .await;
     let before = deployment.store.calls();
     for _ in 0..10 {
         assert_eq!(
@@ -91,9 +97,12 @@
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     }
     let calls = deployment.store.calls() - before;
-    assert!(calls < 60, "{calls} calls of a store that is away");
+    assert!(
+        calls < 60,
+        "{calls} calls to the unavailable store, expected fewer than 60"
+    );
     deployment.store.set_down(false);
-    wait_until("the VM returns to it", || {
+    wait_until("the VM detects the end of the outage", || {
         entry.has_logged("event=store_regained")
     })
     .await;
@@ -111,7 +120,7 @@
         deployment.store.compact();
     }
     deployment.store.put("config", "main", configuration(20));
-    wait_until("the last version is in force", || {
+    wait_until("the last version is applied", || {
         entry.has_logged("event=configuration_applied version=20")
     })
     .await;
@@ -123,7 +132,7 @@
     deployment.store.lose_answers(3);
     let entry = deployment.entry("vm-1");
     entry.ready().await;
-    wait_until("the duty is held", || {
+    wait_until("the VM holds the placement lease", || {
         entry.has_logged("event=duty_acquired")
     })
     .await;
--- a/crates/clementinepond/tests/entry/graceful_shutdown.rs
+++ b/crates/clementinepond/tests/entry/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut nothing.
+//! Graceful shutdown truncates no answer.
 
 use crate::support::{Deployment, call_to, complete_stream, expect_answer, is_ready};
 use clementinepond_platform_standin::{CallOutcome, send_call};
@@ -19,7 +19,7 @@
     }
     tokio::time::sleep(Duration::from_millis(60)).await;
     entry.terminate();
-    // Callers go on coming until the process is gone.
+    // Callers keep sending until the process has exited.
     let mut later = Vec::new();
     for _ in 0..50 {
         let call = call_to("/chat/late", Some("m0"));
@@ -39,7 +39,7 @@
             }
             CallOutcome::Answer { status, .. } => {
                 assert_eq!(status, 503);
-                assert_eq!(runs, 0, "{attempt} was refused and ran");
+                assert_eq!(runs, 0, "{attempt} was refused but ran");
             }
             CallOutcome::Unreachable | CallOutcome::Closed => assert_eq!(runs, 0),
             other => panic!("{attempt} ended as {other:?}"),
--- a/crates/clementinepond/tests/entry/main.rs
+++ b/crates/clementinepond/tests/entry/main.rs
@@ -1,9 +1,9 @@
-//! Entry VMs as separate processes in front of stand-ins, on real sockets.
+//! Tests of entry VMs as separate processes in front of stand-ins on real sockets.
 
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
-    reason = "a test stops at the first surprise"
+    reason = "a test stops at the first error"
 )]
 
 mod broken_answers;
--- a/crates/clementinepond/tests/entry/refusals.rs
+++ b/crates/clementinepond/tests/entry/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals: what they say must be true.
+//! Refusals: status, `Retry-After`, and that a refused request has not run.
 
 use crate::support::{Deployment, call_to, expect_answer};
 use clementinepond_platform_standin::{CallOutcome, send_call};
@@ -47,12 +47,12 @@
         ..
     } = send_call(entry.callers, call).await
     else {
-        panic!("a refusal is a whole answer");
+        panic!("a refusal is a complete answer");
     };
     let seconds: f64 = retry_after.unwrap().parse().unwrap();
     assert!(
         seconds > 0.0 && seconds <= 2.0,
-        "{seconds} s of a patience of 4 s"
+        "Retry-After of {seconds} s; expected above 0 s and at most 2 s for a timeout of 4 s"
     );
     assert!(!is_signed);
 }
@@ -63,7 +63,7 @@
     let entry = deployment.entry("vm-1");
     entry.ready().await;
     let mut over = None;
-    // 200 units a call against a burst of 100,000.
+    // Each call costs 200 units; the burst is 100,000 units.
     for _ in 0..40 {
         let calls = (0..40).map(|_| send_call(entry.callers, call_to("/read/x", None)));
         let outcomes = join_all(calls).await;
@@ -79,7 +79,7 @@
             break;
         }
     }
-    // The refill of 500 calls a second may keep up; then nothing is refused.
+    // The refill of 500 calls per second may keep up; then no call is refused.
     if let Some(text) = over {
         assert!(text.parse::<f64>().unwrap() >= 0.0);
     }
--- a/crates/clementinepond/tests/entry/request_path.rs
+++ b/crates/clementinepond/tests/entry/request_path.rs
@@ -1,4 +1,4 @@
-//! Requests of every kind, from caller to endpoint and back.
+//! Requests of every kind from caller to endpoint and back.
 
 use crate::support::{Deployment, call_to, complete_stream, expect_answer, wait_until};
 use clementinepond_platform_standin::send_call;
@@ -42,7 +42,10 @@
             .any(|engine| engine.models().contains(&"m1".to_owned()))
     })
     .await;
-    wait_until("the entry VM knows", || entry.has_logged("change=Updated")).await;
+    wait_until("the entry VM sees the loaded model", || {
+        entry.has_logged("change=Updated")
+    })
+    .await;
     let (status, _) =
         expect_answer(send_call(entry.callers, call_to("/chat/rare", Some("m1"))).await);
     assert_eq!(status, 200);
@@ -54,13 +57,13 @@
     let deployment = Deployment::start(1).await;
     let entry = deployment.entry("vm-1");
     entry.ready().await;
-    wait_until("the VM holds the duty", || {
+    wait_until("the VM holds the placement lease", || {
         entry.has_logged("event=duty_acquired")
     })
     .await;
     for round in 0..8 {
         let model = format!("m0/a{}", round % 4 + 1);
-        // The first request may come before the holder has read the status.
+        // The first request may arrive before the lease holder has read the engine status.
         let mut status = 0;
         for _ in 0..20 {
             let call = call_to("/chat/adapter", Some(&model));
@@ -81,11 +84,11 @@
     let (first, second) = (deployment.entry("vm-1"), deployment.entry("vm-2"));
     first.ready().await;
     second.ready().await;
-    wait_until("they meet", || {
+    wait_until("the VMs learn of each other", || {
         first.has_logged("event=peer_learned") && second.has_logged("event=peer_learned")
     })
     .await;
-    wait_until("one holds the duty", || {
+    wait_until("exactly one VM holds the placement lease", || {
         first.has_logged("event=duty_acquired") != second.has_logged("event=duty_acquired")
     })
     .await;
--- a/crates/clementinepond/tests/entry/support.rs
+++ b/crates/clementinepond/tests/entry/support.rs
@@ -1,4 +1,4 @@
-//! A small deployment: one store, endpoints and entry VMs.
+//! Small deployment of a store, endpoints and entry VMs.
 
 use clementinepond_platform_standin::{
     CallOutcome, CallRequest, EndpointOptions, HostedEndpoint, HostedStore, RunJudge,
@@ -15,13 +15,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Waits end at this limit only when something is wrong.
+/// Time after which a state that was not reached fails the test.
 const STATE_TIMEOUT: Duration = Duration::from_secs(30);
 
 static ATTEMPTS: AtomicU32 = AtomicU32::new(0);
 static FILES: AtomicU32 = AtomicU32::new(0);
 
-/// One entry VM.
+/// Process of an entry VM.
 pub(crate) struct EntryProcess {
     child: Child,
     pub(crate) callers: SocketAddrV4,
@@ -32,7 +32,7 @@
 
 impl Drop for EntryProcess {
     fn drop(&mut self) {
-        // The process may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.settings);
@@ -97,10 +97,10 @@
     }
 
     pub(crate) async fn ended(&mut self) {
-        wait_until("the VM ends", || self.child.try_wait().unwrap().is_some()).await;
+        wait_until("the VM exits", || self.child.try_wait().unwrap().is_some()).await;
     }
 
-    /// Waits until the VM says that it is ready.
+    /// Waits until the VM reports that it is ready.
     pub(crate) async fn ready(&self) {
         for _ in 0..300 {
             if is_ready(self.readiness).await {
@@ -108,7 +108,7 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("the VM never became ready");
+        panic!("the VM did not become ready within 300 checks");
     }
 }
 
@@ -129,7 +129,7 @@
     matches!(send_call(readiness, call).await, CallOutcome::Answer { status, .. } if status == 200)
 }
 
-/// Store, endpoints and what they saw.
+/// Store, endpoints, and the judge that records their runs.
 pub(crate) struct Deployment {
     pub(crate) store: HostedStore,
     pub(crate) judge: RunJudge,
@@ -182,12 +182,12 @@
     }
 }
 
-/// Writes a configuration of one version.
+/// Returns a configuration with the given version.
 pub(crate) fn configuration(version: u64) -> Value {
     sample_configuration(version, 5_000)
 }
 
-/// Makes a call with an identity of its own.
+/// Returns a call with a unique attempt ID.
 pub(crate) fn call_to(path: &str, model: Option<&str>) -> CallRequest {
     let number = ATTEMPTS.fetch_add(1, Ordering::Relaxed);
     CallRequest {
@@ -202,26 +202,29 @@
     }
 }
 
-/// Returns status and body of a whole answer.
+/// Returns the status and body of a complete answer; panics on any other outcome.
 pub(crate) fn expect_answer(outcome: CallOutcome) -> (u16, String) {
     match outcome {
         CallOutcome::Answer { status, body, .. } => (status.as_u16(), body),
-        other => panic!("no whole answer: {other:?}"),
+        other => panic!("expected a complete answer, got {other:?}"),
     }
 }
 
-/// Writes all events of a whole stream.
+/// Returns the body of a complete stream.
 pub(crate) fn complete_stream() -> String {
     (1..=8)
         .map(|id| format!("id: {id}\ndata: piece {id}\n\n"))
         .collect()
 }
 
-/// Waits for a state.
+/// Waits until `holds` returns true; panics after [`STATE_TIMEOUT`].
 pub(crate) async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let until = tokio::time::Instant::now() + STATE_TIMEOUT;
     while !holds() {
-        assert!(tokio::time::Instant::now() < until, "never: {what}");
+        assert!(
+            tokio::time::Instant::now() < until,
+            "not reached within {STATE_TIMEOUT:?}: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/clementinepond/tests/log_events.rs
+++ b/crates/clementinepond/tests/log_events.rs
@@ -1,6 +1,6 @@
-//! The reference page lists every log event of the daemon and of entry VMs.
+//! Checks that the reference page lists every log event of the daemon and of entry VMs.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test stops at the first error")]
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -32,7 +32,7 @@
     for name in found {
         assert!(
             page.contains(&format!("| `{name}` |")),
-            "{name} is not listed"
+            "{name} is missing from docs/reference/log-events.md"
         );
     }
 }
--- a/crates/clementinepond/tests/processes.rs
+++ b/crates/clementinepond/tests/processes.rs
@@ -1,6 +1,6 @@
-//! A deployment of separate processes, one of which is killed.
+//! Deployment of separate processes, in which one VM is killed.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test stops at the first error")]
 
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -10,14 +10,14 @@
 const CREDENTIAL: &str = "operator-credential-of-the-test";
 const KEY: &str = "cp-key-of-the-test";
 
-/// A process that is killed when the test ends.
+/// Process that is killed when it is dropped.
 struct TestProcess {
     child: Child,
     first_line: String,
 }
 
 impl TestProcess {
-    /// Starts a command and waits for its first line.
+    /// Starts a command and waits for its first line of output.
     fn start(arguments: &[&str]) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_clementinepond"))
             .args(arguments)
@@ -38,7 +38,7 @@
         found.unwrap().to_owned()
     }
 
-    /// Asks the process to stop and returns its exit code.
+    /// Sends SIGTERM and returns the exit code.
     fn terminate(mut self) -> Option<i32> {
         let id = self.child.id().to_string();
         Command::new("kill").args(["-TERM", &id]).status().unwrap();
@@ -48,7 +48,7 @@
 
 impl Drop for TestProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/clementinepond_settings/src/fault/mod.rs
+++ b/crates/clementinepond_settings/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! Faults found in settings, and the reader that collects all of them.
+//! Faults in settings and configurations, and the reader that collects them.
 
 mod reader;
 mod setting_fault;
--- a/crates/clementinepond_settings/src/fault/reader.rs
+++ b/crates/clementinepond_settings/src/fault/reader.rs
@@ -1,16 +1,22 @@
-//! Reading of an object with every fault reported.
+//! Deserialization that collects several faults.
 //!
-//! A faulty value is recorded and taken out, and the rest is read again, so
-//! that one run finds the faults of all values.
+//! A faulty member is recorded and removed, and the rest is deserialized again,
+//! so that one run finds the faults of several members. Reading stops early at
+//! a fault that cannot be removed: an array element, or a member below a key
+//! that contains a dot.
 
 use super::FaultList;
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Faults after which reading stops.
+/// Maximum number of attempts to read a value, each of which finds one fault.
 const READ_ATTEMPT_LIMIT: usize = 100;
 
-/// Reads a value, collecting a fault for each member that does not fit.
+/// Deserializes a value and adds a fault for each invalid member.
+///
+/// Returns `None` when it adds a fault or stops early. After the first fault no
+/// missing field is reported, since the removal of a faulty member may be the
+/// cause.
 pub(crate) fn read_object<T: DeserializeOwned>(
     mut value: Value,
     faults: &mut FaultList,
@@ -35,7 +41,9 @@
     None
 }
 
-/// Removes the value at a path like `caller.listen` or `exceptions[2].reason`.
+/// Removes the member at a path like `caller.listen` or `exceptions[2].reason`.
+///
+/// Returns `false` when the path leads to no object member.
 fn remove(value: &mut Value, path: &str) -> bool {
     let (parent, last) = path.rsplit_once('.').unwrap_or(("", path));
     let Some(object) = value.pointer_mut(&pointer(parent)) else {
@@ -47,6 +55,7 @@
     }
 }
 
+/// Converts a path to a JSON pointer.
 fn pointer(path: &str) -> String {
     if path.is_empty() {
         return String::new();
--- a/crates/clementinepond_settings/src/fault/setting_fault.rs
+++ b/crates/clementinepond_settings/src/fault/setting_fault.rs
@@ -1,22 +1,22 @@
-//! What is wrong, where, and what to do.
+//! Faults in settings and configurations.
 
 use derive_more::{Display, Error};
 use std::fmt;
 
-/// One fault in a settings file or a configuration.
+/// Fault in a settings file or a configuration.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[display("{path}: {problem}; {remedy}")]
 pub struct SettingFault {
     /// Path of the faulty value.
     pub path: Box<str>,
-    /// What is wrong.
+    /// Description of the fault.
     pub problem: Box<str>,
-    /// What to do about it.
+    /// Action that corrects the fault.
     pub remedy: Box<str>,
 }
 
 impl SettingFault {
-    /// Describes a fault.
+    /// Creates a fault.
     #[must_use]
     pub fn new(path: &str, problem: &str, remedy: &str) -> Self {
         Self {
@@ -27,10 +27,10 @@
     }
 }
 
-/// All faults found in one run; never empty when returned as an error.
+/// Faults found in one run; not empty when returned as an error.
 #[derive(Debug, Error, Clone, Default, PartialEq, Eq)]
 pub struct FaultList {
-    /// The faults, in the order of discovery.
+    /// Faults in the order in which they were found.
     pub faults: Vec<SettingFault>,
 }
 
@@ -40,18 +40,18 @@
         self.faults.push(SettingFault::new(path, problem, remedy));
     }
 
-    /// Adds a fault unless `holds`.
+    /// Adds a fault if `holds` is false.
     pub fn require(&mut self, holds: bool, path: &str, problem: &str, remedy: &str) {
         if !holds {
             self.push(path, problem, remedy);
         }
     }
 
-    /// Returns the value if there is no fault.
+    /// Returns the value if the list is empty.
     ///
     /// # Errors
     ///
-    /// Returns the list itself when it holds a fault.
+    /// Returns the list if it is not empty.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.faults.is_empty() {
             Ok(value)
--- a/crates/clementinepond_settings/src/fleet/change.rs
+++ b/crates/clementinepond_settings/src/fleet/change.rs
@@ -1,4 +1,4 @@
-//! Changes that operators make to the configuration.
+//! Changes to the configuration by operators.
 
 use super::{
     AdapterEntry, ClientAccount, DataCentreEntry, EndpointEntry, FleetConfiguration, FleetDefaults,
@@ -12,15 +12,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One change; an entry of `None` removes what it names.
+/// Change of the configuration; an entry of `None` removes the named entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigurationChange {
-    /// Replaces the defaults.
+    /// Replaces the fleet-wide defaults.
     Defaults(FleetDefaults),
     /// Sets or removes a data centre.
     DataCentre(DataCentreId, Option<DataCentreEntry>),
-    /// Sets or removes an account; its keys go with it.
+    /// Sets or removes an account; removal also removes its keys.
     Account(AccountId, Option<ClientAccount>),
     /// Sets or withdraws a key.
     Key(KeyDigest, Option<KeyEntry>),
@@ -36,23 +36,23 @@
     Exceptions(Vec<FleetException>),
 }
 
-/// Reason for which a change was refused.
+/// Error for a refused change.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum ChangeError {
-    /// What the change removes does not exist.
-    #[display("there is no such entry; list the entries and correct the name")]
+    /// The entry to remove does not exist.
+    #[display("the entry to remove does not exist; list the entries and correct the name")]
     Missing,
-    /// The changed configuration would not be valid.
+    /// The changed configuration would be invalid.
     #[display("{_0}")]
     Invalid(#[error(not(source))] FaultList),
 }
 
 impl FleetConfiguration {
-    /// Returns the configuration with a change made and checked.
+    /// Returns the configuration with the change applied, if the result is valid.
     ///
     /// # Errors
     ///
-    /// Fails when an entry to remove does not exist or the result is not valid.
+    /// Fails when the entry to remove does not exist or the result is invalid.
     pub fn with_change(&self, change: ConfigurationChange) -> Result<Self, ChangeError> {
         let mut changed = self.clone();
         changed.apply(change)?;
--- a/crates/clementinepond_settings/src/fleet/check.rs
+++ b/crates/clementinepond_settings/src/fleet/check.rs
@@ -1,16 +1,16 @@
-//! Checks across the entries of a configuration.
+//! Checks within and across the entries of a configuration.
 
 use super::{EndpointKind, ExceptionChange, FleetConfiguration, FleetException};
 use crate::FaultList;
 use clementinepond_types::{AccountId, EndpointId, MemorySize, ModelId, TokenCount, TokenRate};
 
-/// Parts of every limit that all data centres hold together.
+/// Maximum sum of the `limit_parts` of all data centres.
 const LIMIT_PARTS_TOTAL: u32 = 1024;
-/// Most exceptions that stay readable in one list.
+/// Maximum number of exceptions; a longer list is hard to review.
 const EXCEPTION_LIMIT: usize = 64;
 
 impl FleetConfiguration {
-    /// Adds every fault among the entries.
+    /// Adds a fault for each invalid entry.
     pub fn check(&self, faults: &mut FaultList) {
         self.check_data_centres(faults);
         self.check_accounts(faults);
@@ -29,8 +29,8 @@
         faults.require(
             parts <= u64::from(LIMIT_PARTS_TOTAL),
             "data_centres",
-            &format!("the limit parts add up to {parts}"),
-            "let limit_parts of all data centres add up to at most 1024",
+            &format!("limit_parts of all data centres add up to {parts}"),
+            "reduce limit_parts so that the sum is at most 1024",
         );
     }
 
@@ -40,13 +40,13 @@
                 account.rate > TokenRate::ZERO,
                 &format!("accounts.{id}.rate"),
                 "the rate is 0",
-                "set a rate like \"1200tok/s\", or enabled to false",
+                "set a rate like \"1200tok/s\"; to disable the account, set enabled to false",
             );
             faults.require(
                 account.burst > TokenCount::ZERO,
                 &format!("accounts.{id}.burst"),
                 "the burst is 0 tokens",
-                "set it to at least the largest request",
+                "set it to at least the tokens of the largest request",
             );
         }
     }
@@ -63,7 +63,7 @@
                 model.memory_mib > MemorySize::new(0),
                 &format!("models.{id}.memory_mib"),
                 "the memory is 0 MiB",
-                "set the accelerator memory of one replica",
+                "set it to the accelerator memory of one replica",
             );
         }
         for (id, adapter) in &self.adapters {
@@ -77,7 +77,7 @@
                 !is_model,
                 &path,
                 "a model has the same name",
-                "rename the adapter; callers name both in the same field",
+                "rename the adapter; requests name models and adapters in the same field",
             );
         }
     }
@@ -94,8 +94,8 @@
                 EndpointKind::Engine { accelerators, .. } => faults.require(
                     *accelerators > 0,
                     &format!("endpoints.{id}.kind.engine.accelerators"),
-                    "the endpoint has no accelerator",
-                    "set it to 1 or more",
+                    "the number of accelerators is 0",
+                    "set it to at least 1",
                 ),
                 EndpointKind::Service { route } => faults.require(
                     self.services.contains_key(route),
@@ -111,7 +111,7 @@
         faults.require(
             self.exceptions.len() <= EXCEPTION_LIMIT,
             "exceptions",
-            "there are more than 64",
+            "there are more than 64 exceptions",
             "change the fleet-wide defaults instead",
         );
         for (index, exception) in self.exceptions.iter().enumerate() {
@@ -124,7 +124,7 @@
             !exception.reason.trim().is_empty(),
             &format!("{path}.reason"),
             "the reason is empty",
-            "say why this case differs from the defaults",
+            "state why this case differs from the defaults",
         );
         match &exception.change {
             ExceptionChange::AnswerTokens { account, .. } => {
--- a/crates/clementinepond_settings/src/fleet/client_account.rs
+++ b/crates/clementinepond_settings/src/fleet/client_account.rs
@@ -3,29 +3,29 @@
 use clementinepond_types::{AccountId, PriorityClass, TokenCount, TokenRate};
 use serde::{Deserialize, Serialize};
 
-/// What one client account is owed.
+/// Client account with its limits and priority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// Tokens a second over the whole fleet.
+    /// Token rate over the whole fleet.
     pub rate: TokenRate,
-    /// Most tokens at once over the whole fleet.
+    /// Maximum burst over the whole fleet.
     pub burst: TokenCount,
-    /// Priority class of its requests.
+    /// Priority class of requests of the account.
     #[serde(default)]
     pub priority: PriorityClass,
-    /// Whether its requests run.
+    /// Whether requests of the account are accepted.
     #[serde(default = "yes")]
     pub enabled: bool,
 }
 
-/// One key; the map that holds it is keyed by its digest.
+/// API key; its digest is the key of the map that contains it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyEntry {
     /// Account that the key belongs to.
     pub account: AccountId,
-    /// Note by which operators recognise the key.
+    /// Note that helps operators to recognise the key.
     #[serde(default)]
     pub note: Box<str>,
 }
--- a/crates/clementinepond_settings/src/fleet/endpoint_entry.rs
+++ b/crates/clementinepond_settings/src/fleet/endpoint_entry.rs
@@ -1,30 +1,30 @@
-//! Endpoints and the routes to plain services.
+//! Endpoints and routes to plain services.
 
 use clementinepond_types::{DataCentreId, MemorySize, RouteName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an endpoint runs.
+/// Kind of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum EndpointKind {
-    /// A model engine.
+    /// Model engine.
     Engine {
-        /// Accelerators of the endpoint.
+        /// Number of accelerators of the endpoint.
         accelerators: u32,
         /// Accelerator memory of the endpoint.
         memory_mib: MemorySize,
-        /// Whether it refuses orders with an old fencing number.
+        /// Whether the endpoint refuses orders with an outdated fencing number.
         checks_fencing: bool,
     },
-    /// A plain service.
+    /// Plain service.
     Service {
-        /// Route that leads to it.
+        /// Route whose requests the service handles.
         route: RouteName,
     },
 }
 
-/// One endpoint.
+/// Entry of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointEntry {
@@ -32,9 +32,9 @@
     pub data_centre: DataCentreId,
     /// Address of the endpoint.
     pub address: SocketAddr,
-    /// What it runs.
+    /// Kind of the endpoint.
     pub kind: EndpointKind,
-    /// Whether it is leaving and gets no new work.
+    /// Whether the endpoint is being removed and gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRoute {
-    /// Whether any call may be repeated; GET and HEAD always may.
+    /// Whether all calls may be retried; safe methods such as GET and HEAD always may.
     #[serde(default)]
     pub repeatable: bool,
-    /// Whether callers need no key.
+    /// Whether callers may omit the API key.
     #[serde(default)]
     pub open: bool,
-    /// Tokens that one call counts against the account.
+    /// Number of tokens that a call counts against the limits of the account.
     #[serde(default)]
     pub cost_tokens: u64,
 }
--- a/crates/clementinepond_settings/src/fleet/exception.rs
+++ b/crates/clementinepond_settings/src/fleet/exception.rs
@@ -3,46 +3,46 @@
 use clementinepond_types::{AccountId, EndpointId, ModelId};
 use serde::{Deserialize, Serialize};
 
-/// What an exception changes.
+/// Rule that an exception sets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ExceptionChange {
-    /// Most tokens that one answer for the account may have.
+    /// Limits the tokens of an answer to the account.
     AnswerTokens {
-        /// The account.
+        /// Account that the limit applies to.
         account: AccountId,
-        /// The limit, in tokens.
+        /// Maximum number of tokens of an answer.
         limit: u64,
     },
-    /// Fewest replicas of the model in each data centre.
+    /// Sets a minimum number of replicas of the model in each data centre.
     ReplicaMinimum {
-        /// The model.
+        /// Model that the rule applies to.
         model: ModelId,
-        /// The fewest replicas.
+        /// Minimum number of replicas.
         replicas: u32,
     },
-    /// The model stays on the endpoint.
+    /// Keeps the model on the endpoint.
     Pin {
-        /// The model.
+        /// Model that the rule applies to.
         model: ModelId,
-        /// The endpoint.
+        /// Endpoint that the rule applies to.
         endpoint: EndpointId,
     },
-    /// The model never goes to the endpoint.
+    /// Never places the model on the endpoint.
     Forbid {
-        /// The model.
+        /// Model that the rule applies to.
         model: ModelId,
-        /// The endpoint.
+        /// Endpoint that the rule applies to.
         endpoint: EndpointId,
     },
 }
 
-/// One exception.
+/// Exception to the fleet-wide defaults.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetException {
-    /// What it changes.
+    /// Rule that the exception sets.
     pub change: ExceptionChange,
-    /// Why it exists; never empty.
+    /// Reason for the exception; not blank.
     pub reason: Box<str>,
 }
--- a/crates/clementinepond_settings/src/fleet/fleet_configuration.rs
+++ b/crates/clementinepond_settings/src/fleet/fleet_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as a whole.
+//! Root of the configuration.
 
 use super::{
     AdapterEntry, ClientAccount, EndpointEntry, FleetException, KeyEntry, ModelEntry, ServiceRoute,
@@ -11,19 +11,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Values that hold unless an exception says otherwise.
+/// Fleet-wide limits; an exception can replace `answer_tokens_limit` for an account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetDefaults {
-    /// Tokens of an answer when the caller states no limit.
+    /// Maximum number of tokens of an answer when the request states none.
     pub answer_tokens: u64,
-    /// Most tokens that one answer may have.
+    /// Upper bound of the tokens of an answer.
     pub answer_tokens_limit: u64,
-    /// Loads that the weight store serves a second, over the fleet, in thousandths.
+    /// Rate of model loads that the weight store serves for the fleet, in loads per
+    /// 1000 seconds.
     pub store_loads_per_1000s: u32,
-    /// Loads that the weight store serves at once at full speed.
+    /// Number of concurrent model loads that the weight store serves at full speed.
     pub store_loads_at_once: u32,
-    /// Adapters in transit at full speed.
+    /// Number of concurrent adapter loads that run at full speed.
     pub adapters_in_transit: u32,
 }
 
@@ -39,11 +40,12 @@
     }
 }
 
-/// One data centre.
+/// Entry of a data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentreEntry {
-    /// Parts of 1,024 of every limit that this data centre holds.
+    /// Number of parts, out of 1,024, of each account's limits that this data centre
+    /// holds.
     pub limit_parts: u32,
 }
 
@@ -51,13 +53,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetConfiguration {
-    /// Fleet-wide defaults.
+    /// Fleet-wide limits.
     pub defaults: FleetDefaults,
     /// Data centres.
     pub data_centres: BTreeMap<DataCentreId, DataCentreEntry>,
     /// Client accounts.
     pub accounts: BTreeMap<AccountId, ClientAccount>,
-    /// Keys, by digest.
+    /// API keys by digest.
     pub keys: BTreeMap<KeyDigest, KeyEntry>,
     /// Hosted models.
     pub models: BTreeMap<ModelId, ModelEntry>,
@@ -67,7 +69,7 @@
     pub endpoints: BTreeMap<EndpointId, EndpointEntry>,
     /// Routes to plain services.
     pub services: BTreeMap<RouteName, ServiceRoute>,
-    /// Exceptions to the defaults.
+    /// Exceptions to the fleet-wide defaults.
     pub exceptions: Vec<FleetException>,
 }
 
@@ -76,7 +78,8 @@
     ///
     /// # Errors
     ///
-    /// Lists every value that does not fit.
+    /// Fails when a value is invalid. Checks across entries run only when every
+    /// value could be deserialized.
     pub fn read(value: serde_json::Value) -> Result<Self, FaultList> {
         let mut faults = FaultList::default();
         match read_object::<Self>(value, &mut faults) {
@@ -92,13 +95,17 @@
     ///
     /// # Errors
     ///
-    /// As [`FleetConfiguration::read`]; also when the text is not JSON.
+    /// Fails when the text is not valid JSON, and as in [`FleetConfiguration::read`].
     pub fn read_text(text: &str) -> Result<Self, FaultList> {
         match serde_json::from_str(text) {
             Ok(value) => Self::read(value),
             Err(error) => {
                 let mut faults = FaultList::default();
-                faults.push("configuration", &error.to_string(), "send a JSON object");
+                faults.push(
+                    "configuration",
+                    &error.to_string(),
+                    "write a valid JSON object",
+                );
                 Err(faults)
             }
         }
--- a/crates/clementinepond_settings/src/fleet/mod.rs
+++ b/crates/clementinepond_settings/src/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! Configuration that all VMs share.
 //!
-//! The platform holds it as one object; operators change it through the
-//! administration API. A configuration is checked before it is stored and
-//! again before a VM puts it in force.
+//! The platform stores the configuration as one object, which operators change
+//! through the administration API. A configuration is checked before it is
+//! stored and again before a VM applies it.
 
 mod change;
 mod check;
--- a/crates/clementinepond_settings/src/lib.rs
+++ b/crates/clementinepond_settings/src/lib.rs
@@ -1,9 +1,10 @@
-//! Settings of one VM and configuration of the whole fleet.
+//! Settings of a VM and configuration of the fleet.
 //!
-//! The settings file says what only this VM can know: its name, its data
-//! centre and its addresses. Everything that VMs share is the fleet
-//! configuration, which the platform holds and the administration API
-//! changes. Both are checked whole, so that one run reports every fault.
+//! The settings file holds what belongs to a single VM, such as its name, its
+//! data centre, its addresses and its timeouts. The fleet configuration holds
+//! what all VMs share; the platform stores it and operators change it through
+//! the administration API. Reading either collects many faults in one run
+//! instead of stopping at the first.
 
 mod fault;
 pub mod fleet;
--- a/crates/clementinepond_settings/src/vm/check.rs
+++ b/crates/clementinepond_settings/src/vm/check.rs
@@ -1,19 +1,19 @@
-//! Checks that a type alone cannot express.
+//! Checks of VM settings that their types cannot express.
 
 use super::VmSettings;
 use crate::FaultList;
 use clementinepond_types::TimeSpan;
 
-/// Shortest accepted secret, in bytes.
+/// Minimum length of the peer secret.
 const SECRET_MIN_BYTES: usize = 16;
-/// Smallest accepted limit of a body, in bytes.
+/// Minimum of the body size limit.
 const BODY_LIMIT_MIN_BYTES: usize = 1024;
-/// Intervals of polls that a loan lives.
+/// Lifetime of a part loan in poll intervals.
 const LOAN_LIFETIME_POLLS: u64 = 3;
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 impl VmSettings {
-    /// Adds every fault among the values.
+    /// Adds a fault for each invalid value.
     pub fn check(&self, faults: &mut FaultList) {
         self.check_peer(faults);
         self.check_caller(faults);
@@ -28,15 +28,15 @@
             self.peer.secret.len() >= SECRET_MIN_BYTES,
             "peer.secret",
             "the secret is shorter than 16 bytes",
-            "set the same random secret of 16 or more bytes on every VM",
+            "set the same random secret of at least 16 bytes on every VM",
         );
         faults.require(
             self.peer
                 .advertise
                 .is_none_or(|address| address.port() != 0),
             "peer.advertise",
-            "port 0 cannot be dialled",
-            "name the port that other VMs reach",
+            "other VMs cannot connect to port 0",
+            "set the port that other VMs connect to",
         );
     }
 
@@ -45,13 +45,13 @@
             self.caller.body_limit_bytes >= BODY_LIMIT_MIN_BYTES,
             "caller.body_limit_bytes",
             "the limit is below 1024 bytes",
-            "set it to at least the largest request",
+            "set it to at least the size of the largest request",
         );
         faults.require(
             self.caller.concurrent_requests > 0,
             "caller.concurrent_requests",
-            "no request could be served",
-            "set it to 1 or more",
+            "the limit is 0, so no request can be served",
+            "set it to at least 1",
         );
     }
 
@@ -59,14 +59,14 @@
         faults.require(
             self.request.attempt_limit > 0,
             "request.attempt_limit",
-            "no attempt is allowed",
-            "set it to 1 or more",
+            "the limit is 0, so no attempt is allowed",
+            "set it to at least 1",
         );
         faults.require(
             self.request.retry_percent <= 100,
             "request.retry_percent",
-            "more retries than requests would be allowed",
-            "set it to 100 or less",
+            "the value is above 100, which allows more retries than requests",
+            "set it to at most 100",
         );
     }
 
@@ -108,8 +108,8 @@
         faults.require(
             self.membership.loan_span > longest,
             "membership.loan_span",
-            &format!("grants may live for {longest}"),
-            "set it longer than limit.lot_span and three times limit.loan_interval",
+            &format!("grants can last for {longest}"),
+            "set it longer than both limit.lot_span and three times limit.loan_interval",
         );
     }
 
--- a/crates/clementinepond_settings/src/vm/mod.rs
+++ b/crates/clementinepond_settings/src/vm/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one VM.
+//! Settings of a VM.
 
 mod check;
 mod read;
--- a/crates/clementinepond_settings/src/vm/read.rs
+++ b/crates/clementinepond_settings/src/vm/read.rs
@@ -1,4 +1,4 @@
-//! Reading of the settings file.
+//! Reading and checking of the settings file.
 
 use super::VmSettings;
 use crate::FaultList;
@@ -7,31 +7,31 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Reason for which settings could not be used.
+/// Error for settings that cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[display("{path}: {source}; give the path of a readable file")]
+    #[display("{path}: {source}; check that the file exists and is readable")]
     File {
-        /// Path that was tried.
+        /// Path of the file.
         path: Box<str>,
-        /// Error of the operating system.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The text is not JSON with comments.
-    #[display("{path}: {problem}; write JSON, where // and /* */ comments are allowed")]
+    /// The text is not valid JSON with comments.
+    #[display("{path}: {problem}; write valid JSON; // and /* */ comments are allowed")]
     Syntax {
         /// Path of the file.
         path: Box<str>,
-        /// Message of the parser, with line and column.
+        /// Message of the parser with line and column.
         problem: Box<str>,
     },
-    /// Values do not fit.
+    /// Values are invalid.
     #[display("{path}:\n{faults}")]
     Values {
         /// Path of the file.
         path: Box<str>,
-        /// Every fault found.
+        /// Faults found.
         faults: FaultList,
     },
 }
@@ -41,8 +41,9 @@
     ///
     /// # Errors
     ///
-    /// Fails when the file cannot be read, is not JSON with comments, or holds
-    /// values that do not fit; all such values are listed.
+    /// Fails when the file cannot be read, is not valid JSON with comments, or
+    /// contains invalid values. Checks across values run only when every value
+    /// could be deserialized.
     pub fn read_file(path: &Path) -> Result<Self, SettingsError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::File {
@@ -56,7 +57,8 @@
     ///
     /// # Errors
     ///
-    /// As [`VmSettings::read_file`].
+    /// Fails when the text is not valid JSON with comments or contains invalid
+    /// values, as in [`VmSettings::read_file`]. `name` stands for the path.
     pub fn read_text(name: &str, text: &str) -> Result<Self, SettingsError> {
         let value: Value = serde_json5::from_str(text).map_err(|error| SettingsError::Syntax {
             path: name.into(),
--- a/crates/clementinepond_settings/src/vm/reference.rs
+++ b/crates/clementinepond_settings/src/vm/reference.rs
@@ -1,17 +1,17 @@
-//! Reference page of the settings file.
+//! Reference page of the settings of a VM.
 
 use std::fmt::Write;
 
-/// Description of one setting.
+/// Description of a setting.
 #[derive(Debug, Clone, Copy)]
 pub struct SettingEntry {
-    /// Path in the file.
+    /// Path of the setting in the file.
     pub path: &'static str,
-    /// Form of the value.
+    /// Form of the value, such as `time` or `IP:PORT`.
     pub form: &'static str,
-    /// Default, or `required`.
+    /// Default value, or `required`, or `none`.
     pub default: &'static str,
-    /// What it does.
+    /// Meaning of the setting.
     pub about: &'static str,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Every setting of the file.
+/// All settings of the file.
 pub const SETTING_ENTRIES: &[SettingEntry] = &[
     entry(
         "vm",
@@ -48,25 +48,25 @@
         "caller.tls",
         "{certificate, private_key}",
         "none",
-        "PEM files; plain HTTP when absent.",
+        "PEM files of the certificate chain and its private key; plain HTTP if absent.",
     ),
     entry(
         "caller.body_limit_bytes",
         "bytes",
         "4194304",
-        "Largest accepted body.",
+        "Maximum size of a request body.",
     ),
     entry(
         "caller.body_timeout",
         "time",
         "10s",
-        "Longest time in which a body must arrive.",
+        "Timeout for receiving a request body.",
     ),
     entry(
         "caller.concurrent_requests",
         "number",
         "4096",
-        "Most requests served at once.",
+        "Maximum number of requests served concurrently by this VM.",
     ),
     entry(
         "admin.listen",
@@ -78,7 +78,7 @@
         "admin.credential_digest",
         "64 hex digits",
         "required",
-        "BLAKE3 digest of the operators' credential; `clementinepond digest` prints it.",
+        "BLAKE3 digest of the operator credential; `clementinepond digest` prints it.",
     ),
     entry(
         "peer.listen",
@@ -90,19 +90,19 @@
         "peer.advertise",
         "IP:PORT",
         "peer.listen",
-        "Address that other VMs dial.",
+        "Address that other VMs connect to.",
     ),
     entry(
         "peer.secret",
         "text",
         "required",
-        "Secret shared by all VMs; authenticates each message.",
+        "Secret shared by all VMs, which authenticates each message.",
     ),
     entry(
         "peer.seeds",
         "[{vm, address}]",
         "[]",
-        "VMs to ask at start.",
+        "VMs to contact first at start.",
     ),
     entry(
         "platform.address",
@@ -114,151 +114,151 @@
         "platform.timeout",
         "time",
         "2s",
-        "Longest wait for an answer.",
+        "Timeout for an answer of the platform.",
     ),
     entry(
         "platform.watch_wait",
         "time",
         "30s",
-        "Longest wait of one watch call.",
+        "Maximum time for which the platform holds a watch call open.",
     ),
     entry(
         "platform.list_interval",
         "time",
         "2s",
-        "Interval between readings of the list of VMs.",
+        "Interval between reads of the list of VMs.",
     ),
     entry(
         "endpoint.connect_timeout",
         "time",
         "1s",
-        "Longest wait for a connection.",
+        "Timeout for connecting to an endpoint.",
     ),
     entry(
         "endpoint.answer_timeout",
         "time",
         "120s",
-        "Longest wait for the head of an answer.",
+        "Timeout for the head of an answer.",
     ),
     entry(
         "endpoint.token_timeout",
         "time",
         "20s",
-        "Longest silence inside a streamed answer.",
+        "Timeout between two chunks of a streamed answer.",
     ),
     entry(
         "endpoint.report_interval",
         "time",
         "500ms",
-        "Interval between readings of a report.",
+        "Interval between reads of the report of an endpoint.",
     ),
     entry(
         "request.admission_wait",
         "time",
         "300ms",
-        "Longest wait for admission before a refusal.",
+        "Maximum wait for admission, after which a request is refused.",
     ),
     entry(
         "request.total_timeout",
         "time",
         "600s",
-        "Longest whole life of one request.",
+        "Timeout of a request from arrival to the end of its answer.",
     ),
     entry(
         "request.attempt_limit",
         "number",
         "4",
-        "Most attempts for one repeatable request.",
+        "Maximum number of attempts of a repeatable request.",
     ),
     entry(
         "request.retry_percent",
         "0 to 100",
         "20",
-        "Retries allowed for every 100 requests.",
+        "Retries that every 100 requests add to the retry budget.",
     ),
     entry(
         "request.shutdown_wait",
         "time",
         "60s",
-        "Longest wait for running requests at a graceful shutdown.",
+        "Maximum wait for running requests during a graceful shutdown.",
     ),
     entry(
         "membership.heartbeat_period",
         "time",
         "1s",
-        "Time between two rounds of heartbeats.",
+        "Interval between heartbeats.",
     ),
     entry(
         "membership.suspicion",
         "time",
         "8s",
-        "Silence after which a VM is suspected.",
+        "Time without contact after which a VM is suspected to have failed.",
     ),
     entry(
         "membership.validity",
         "time",
         "10s",
-        "Time for which a paused VM keeps the use of its parts.",
+        "Time for which a VM that stops running may keep using its parts of the limits.",
     ),
     entry(
         "membership.settle",
         "time",
         "10s",
-        "Time in which news of one VM reaches all connected ones.",
+        "Time after which an update of one VM has reached all connected VMs.",
     ),
     entry(
         "membership.list_lag",
         "time",
         "30s",
-        "Bound of the lag of the platform's list of VMs.",
+        "Upper bound of the lag of the platform's list of VMs.",
     ),
     entry(
         "membership.loan_span",
         "time",
         "20s",
-        "Longest life of a grant on parts.",
+        "Upper bound of the lifetime of a grant or loan of parts.",
     ),
     entry(
         "membership.balance_period",
         "time",
         "20s",
-        "Time between two steps towards even parts.",
+        "Interval between steps that even out the parts of the VMs.",
     ),
     entry(
         "membership.refuse_keys_after",
         "time",
         "none",
-        "Time without news after which all keys are refused.",
+        "Time without contact to other VMs and the platform after which all keys are refused; never if absent.",
     ),
     entry(
         "limit.lot_span",
         "time",
         "10s",
-        "Life of a lot of tokens at the VM that borrowed it.",
+        "Upper bound of the lifetime of a token loan at the VM that borrowed the tokens.",
     ),
     entry(
         "limit.loan_interval",
         "time",
         "2s",
-        "Shortest interval between two polls for loans.",
+        "Shortest interval between two polls for part loans.",
     ),
     entry(
         "telemetry.log_level",
         "level",
         "info",
-        "Least severe level that is logged.",
+        "Minimum severity of log lines.",
     ),
     entry(
         "telemetry.otlp_address",
         "URL",
         "none",
-        "OTLP collector for traces, as `http://IP:PORT`.",
+        "OTLP collector for traces, as `http://IP:PORT`; no traces are exported if absent.",
     ),
     entry(
         "telemetry.trace_history",
         "number",
         "256",
-        "Newest traces kept in memory for the administration API.",
+        "Number of most recent traces kept in memory for the administration API.",
     ),
 ];
 
@@ -266,7 +266,7 @@
 #[must_use]
 pub fn reference_page() -> String {
     let mut page = String::from(
-        "# Settings of one VM\n\nGenerated by `clementinepond reference`; do not edit.\n\nThe file is JSON in which comments are allowed. A time is a whole number with\n`us`, `ms`, `s`, `min` or `h`.\n\n| Setting | Form | Default | Meaning |\n| --- | --- | --- | --- |\n",
+        "# Settings of a VM\n\nGenerated by `clementinepond reference`; do not edit.\n\nThe file is JSON in which comments are allowed. A time is a whole number with\n`us`, `ms`, `s`, `min` or `h`.\n\n| Setting | Form | Default | Meaning |\n| --- | --- | --- | --- |\n",
     );
     for entry in SETTING_ENTRIES {
         let _ = writeln!(
--- a/crates/clementinepond_settings/src/vm/section.rs
+++ b/crates/clementinepond_settings/src/vm/section.rs
@@ -1,11 +1,11 @@
-//! Sections of the settings file.
+//! Sections of the settings of a VM.
 
 use clementinepond_types::{KeyDigest, TimeSpan};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Certificate for callers.
+/// TLS certificate of the listener for callers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
@@ -15,22 +15,22 @@
     pub private_key: PathBuf,
 }
 
-/// Listener for callers.
+/// Settings of the listener for callers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerSettings {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Certificate; plain HTTP when absent.
+    /// TLS certificate; plain HTTP if absent.
     #[serde(default)]
     pub tls: Option<TlsSettings>,
-    /// Largest accepted body, in bytes.
+    /// Maximum size of a request body in bytes.
     #[serde(default = "CallerSettings::default_body_limit_bytes")]
     pub body_limit_bytes: usize,
-    /// Longest time in which a body must arrive.
+    /// Timeout for receiving a request body.
     #[serde(default = "CallerSettings::default_body_timeout")]
     pub body_timeout: TimeSpan,
-    /// Most requests served at once by this VM.
+    /// Maximum number of requests served concurrently by this VM.
     #[serde(default = "CallerSettings::default_concurrent_requests")]
     pub concurrent_requests: usize,
 }
@@ -49,53 +49,53 @@
     }
 }
 
-/// Listener for operators.
+/// Settings of the listener for operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdminSettings {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// BLAKE3 digest of the operators' credential.
+    /// BLAKE3 digest of the operator credential.
     pub credential_digest: KeyDigest,
 }
 
-/// A VM that is known before any roster is.
+/// VM that is contacted before a roster is known.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSeed {
-    /// Its address for other VMs.
+    /// Address at which the VM listens for other VMs.
     pub address: SocketAddr,
 }
 
-/// Messages between VMs.
+/// Settings of messages between VMs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Address that other VMs dial; the listening address when absent.
+    /// Address that other VMs connect to; the listening address if absent.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Secret shared by all VMs; authenticates each message.
+    /// Secret shared by all VMs, which authenticates each message.
     pub secret: Box<str>,
-    /// VMs to ask at start.
+    /// VMs to contact first at start.
     #[serde(default)]
     pub seeds: Vec<PeerSeed>,
 }
 
-/// The platform's object API.
+/// Settings of the client of the platform's object API.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Address of the API.
+    /// Address of the object API.
     pub address: SocketAddr,
-    /// Longest wait for an answer.
+    /// Timeout for an answer of the platform.
     #[serde(default = "PlatformSettings::default_timeout")]
     pub timeout: TimeSpan,
-    /// Longest wait of one watch call.
+    /// Maximum time for which the platform holds a watch call open.
     #[serde(default = "PlatformSettings::default_watch_wait")]
     pub watch_wait: TimeSpan,
-    /// Interval between readings of the list of VMs.
+    /// Interval between reads of the list of VMs.
     #[serde(default = "PlatformSettings::default_list_interval")]
     pub list_interval: TimeSpan,
 }
@@ -114,17 +114,17 @@
     }
 }
 
-/// Calls to endpoints.
+/// Settings of calls to endpoints.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EndpointSettings {
-    /// Longest wait for a connection.
+    /// Timeout for connecting to an endpoint.
     pub connect_timeout: TimeSpan,
-    /// Longest wait for the head of an answer.
+    /// Timeout for the head of an answer.
     pub answer_timeout: TimeSpan,
-    /// Longest silence inside a streamed answer.
+    /// Timeout between two chunks of a streamed answer.
     pub token_timeout: TimeSpan,
-    /// Interval between readings of a report.
+    /// Interval between reads of the report of an endpoint.
     pub report_interval: TimeSpan,
 }
 
@@ -139,19 +139,19 @@
     }
 }
 
-/// Life cycle of requests.
+/// Limits of a request from arrival to answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestSettings {
-    /// Longest wait for admission before a refusal.
+    /// Maximum wait for admission, after which a request is refused.
     pub admission_wait: TimeSpan,
-    /// Longest whole life of one request.
+    /// Timeout of a request from arrival to the end of its answer.
     pub total_timeout: TimeSpan,
-    /// Most attempts for one repeatable request.
+    /// Maximum number of attempts of a repeatable request.
     pub attempt_limit: u32,
-    /// Retries allowed for every 100 requests.
+    /// Retries that every 100 requests add to the retry budget.
     pub retry_percent: u32,
-    /// Longest wait for running requests at a graceful shutdown.
+    /// Maximum wait for running requests during a graceful shutdown.
     pub shutdown_wait: TimeSpan,
 }
 
@@ -167,25 +167,26 @@
     }
 }
 
-/// Membership and what a VM does while it is cut off.
+/// Settings of membership and of VMs without contact to others.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSettings {
-    /// Time between two rounds of heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_period: TimeSpan,
-    /// Silence after which a VM is suspected.
+    /// Time without contact after which a VM is suspected to have failed.
     pub suspicion: TimeSpan,
-    /// Time for which a paused VM keeps the use of its parts.
+    /// Time for which a VM that stops running may keep using its parts of the limits.
     pub validity: TimeSpan,
-    /// Time in which news of one VM reaches all connected ones.
+    /// Time after which an update of one VM has reached all connected VMs.
     pub settle: TimeSpan,
-    /// Bound of the lag of the platform's list of VMs.
+    /// Upper bound of the lag of the platform's list of VMs.
     pub list_lag: TimeSpan,
-    /// Longest life of a grant on parts.
+    /// Upper bound of the lifetime of a grant or loan of parts.
     pub loan_span: TimeSpan,
-    /// Time between two steps towards even parts.
+    /// Interval between steps that even out the parts of the VMs.
     pub balance_period: TimeSpan,
-    /// Time without news after which all keys are refused; never when absent.
+    /// Time without contact to other VMs and the platform after which all keys are
+    /// refused; never if absent.
     pub refuse_keys_after: Option<TimeSpan>,
 }
 
@@ -204,13 +205,13 @@
     }
 }
 
-/// Limits of client accounts.
+/// Settings of the loans that enforce the limits of client accounts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Life of a lot of tokens at the VM that borrowed it.
+    /// Upper bound of the lifetime of a token loan at the VM that borrowed the tokens.
     pub lot_span: TimeSpan,
-    /// Shortest interval between two polls for loans.
+    /// Shortest interval between two polls for part loans.
     pub loan_interval: TimeSpan,
 }
 
@@ -223,15 +224,15 @@
     }
 }
 
-/// Logs, traces and metrics.
+/// Settings of logs and traces.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TelemetrySettings {
-    /// Least severe level that is logged.
+    /// Minimum severity of log lines.
     pub log_level: Box<str>,
-    /// OTLP collector for traces, as `http://IP:PORT`; none when absent.
+    /// OTLP collector for traces, as `http://IP:PORT`; no traces are exported if absent.
     pub otlp_address: Option<Box<str>>,
-    /// Newest traces kept in memory for the administration API.
+    /// Number of most recent traces kept in memory for the administration API.
     pub trace_history: usize,
 }
 
--- a/crates/clementinepond_settings/src/vm/vm_settings.rs
+++ b/crates/clementinepond_settings/src/vm/vm_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file as a whole.
+//! Root of the settings of a VM.
 
 use super::section::{
     AdminSettings, CallerSettings, EndpointSettings, LimitSettings, MembershipSettings,
@@ -7,7 +7,7 @@
 use clementinepond_types::{DataCentreId, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Settings of one VM.
+/// Settings of a VM.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmSettings {
@@ -21,21 +21,21 @@
     pub admin: AdminSettings,
     /// Messages between VMs.
     pub peer: PeerSettings,
-    /// The platform's object API.
+    /// Client of the platform's object API.
     pub platform: PlatformSettings,
     /// Calls to endpoints.
     #[serde(default)]
     pub endpoint: EndpointSettings,
-    /// Life cycle of requests.
+    /// Limits of a request from arrival to answer.
     #[serde(default)]
     pub request: RequestSettings,
-    /// Membership and what a VM does while it is cut off.
+    /// Membership, and VMs without contact to others.
     #[serde(default)]
     pub membership: MembershipSettings,
-    /// Limits of client accounts.
+    /// Loans that enforce the limits of client accounts.
     #[serde(default)]
     pub limit: LimitSettings,
-    /// Logs, traces and metrics.
+    /// Logs and traces.
     #[serde(default)]
     pub telemetry: TelemetrySettings,
 }
--- a/crates/clementinepond_settings/tests/fleet.rs
+++ b/crates/clementinepond_settings/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Checks and changes of the fleet configuration.
+//! Tests of the checks and changes of the fleet configuration.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test stops at the first error")]
 
 use clementinepond_settings::fleet::{ChangeError, ConfigurationChange, FleetConfiguration};
 use clementinepond_settings::vm::{SETTING_ENTRIES, VmSettings};
--- a/crates/clementinepond_settings/tests/settings_files.rs
+++ b/crates/clementinepond_settings/tests/settings_files.rs
@@ -1,6 +1,8 @@
-//! Settings files and the faults that are reported for them.
+//! Compares the faults reported for settings files with expected output.
+//!
+//! The environment variable `UPDATE_EXPECTED` rewrites the expected output.
 
-#![allow(clippy::unwrap_used, reason = "a test stops at the first surprise")]
+#![allow(clippy::unwrap_used, reason = "a test stops at the first error")]
 
 use clementinepond_settings::vm::VmSettings;
 use std::path::Path;
--- a/crates/clementinepond_types/src/identity/key_digest.rs
+++ b/crates/clementinepond_types/src/identity/key_digest.rs
@@ -1,28 +1,28 @@
-//! Digests of callers' keys.
+//! Digests of API keys and credentials.
 //!
 //! Only the digest of a key is stored or sent between VMs. The digest is a
-//! 32-byte BLAKE3 hash; computing it belongs to the edge that reads the key.
+//! 32-byte BLAKE3 hash, which the I/O layer computes when it reads the key.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Length of a digest, in bytes.
+/// Length of a digest in bytes.
 const DIGEST_LENGTH: usize = 32;
 
-/// Reason for which a digest was refused.
+/// Error for a text that is not a key digest.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
-#[display("key digest is not 64 hexadecimal digits; copy it whole from the administration API")]
+#[display("key digest is not 64 hexadecimal digits; copy the complete digest")]
 pub struct KeyDigestError;
 
-/// Digest of one caller's key.
+/// Digest of an API key or credential, written as 64 lower-case hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Box<str>", into = "Box<str>")]
 pub struct KeyDigest([u8; DIGEST_LENGTH]);
 
 impl KeyDigest {
-    /// Wraps the bytes of a digest.
+    /// Creates a digest from its bytes.
     #[must_use]
     pub const fn new(bytes: [u8; DIGEST_LENGTH]) -> Self {
         Self(bytes)
--- a/crates/clementinepond_types/src/identity/mod.rs
+++ b/crates/clementinepond_types/src/identity/mod.rs
@@ -1,4 +1,4 @@
-//! Names of the things that the system serves, limits and runs on.
+//! Names of VMs, data centres, client accounts, endpoints, models and requests.
 
 mod key_digest;
 mod name;
--- a/crates/clementinepond_types/src/identity/name.rs
+++ b/crates/clementinepond_types/src/identity/name.rs
@@ -1,16 +1,17 @@
-//! Checked names.
+//! Validated names.
 //!
-//! A name is 1 to 128 characters of letters, digits and `. _ : / -`, which
-//! keeps it safe in a log line, a path segment and a header value.
+//! A name has 1 to 128 characters, which are ASCII letters, digits and
+//! `. _ : / -`. It can thus appear in log lines, paths and header values
+//! without escaping.
 
 use derive_more::{AsRef, Display, Error};
 use serde::{Deserialize, Serialize};
 use std::str::FromStr;
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a name in bytes.
 const NAME_LENGTH_LIMIT: usize = 128;
 
-/// Reason for which a name was refused.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum NameError {
     /// The name is empty.
@@ -19,13 +20,13 @@
     /// The name is too long.
     #[display("name has {length} bytes; shorten it to {NAME_LENGTH_LIMIT} or fewer")]
     TooLong {
-        /// Length found, in bytes.
+        /// Length of the name in bytes.
         length: usize,
     },
-    /// The name holds a character that is not allowed.
-    #[display("name holds {found:?}; use only letters, digits and the characters . _ : / -")]
+    /// The name contains a character that is not allowed.
+    #[display("name contains {found:?}; use only letters, digits and the characters . _ : / -")]
     Character {
-        /// First offending character.
+        /// First character that is not allowed.
         found: char,
     },
 }
@@ -93,20 +94,20 @@
 }
 
 checked_name! {
-    /// Name of one entry VM.
+    /// Name of a VM.
     VmId,
-    /// Name of one data centre.
+    /// Name of a data centre.
     DataCentreId,
-    /// Name of one client account.
+    /// Name of a client account.
     AccountId,
-    /// Name of one endpoint: a model engine or a plain service.
+    /// Name of an endpoint, which is a model engine or a plain service.
     EndpointId,
-    /// Name of one model.
+    /// Name of a model.
     ModelId,
-    /// Name of one adapter.
+    /// Name of an adapter.
     AdapterId,
-    /// Name of one route to a plain service.
+    /// Name of a route to plain services.
     RouteName,
-    /// Identifier that the system gives to one request.
+    /// Identifier that the system assigns to a request.
     RequestId,
 }
--- a/crates/clementinepond_types/src/lib.rs
+++ b/crates/clementinepond_types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Identifiers, quantities and clock values shared by every crate.
+//! Identifiers, quantities and clock values shared by the crates.
 //!
-//! Each value that names something or measures something has a type of its
-//! own with `Display` and `FromStr`, so that a token rate cannot be passed
-//! where a memory size is expected and every message prints its units.
+//! Each kind of identifier and quantity is a type of its own, so that a token
+//! rate cannot be passed where a memory size is expected. `Display` prints the
+//! unit of a quantity that has one.
 
 pub mod identity;
 pub mod quantity;
--- a/crates/clementinepond_types/src/quantity/counter.rs
+++ b/crates/clementinepond_types/src/quantity/counter.rs
@@ -1,4 +1,4 @@
-//! Whole-number quantities without arithmetic of their own.
+//! Integer quantities with addition and saturating subtraction only.
 
 use derive_more::{Add, AddAssign, Display, FromStr, Sum};
 use serde::{Deserialize, Serialize};
@@ -15,25 +15,25 @@
         pub struct $name($inner);
 
         impl $name {
-            /// Wraps a plain number.
+            /// Creates a quantity from a number.
             #[must_use]
             pub const fn new(value: $inner) -> Self {
                 Self(value)
             }
 
-            /// Returns the plain number.
+            /// Returns the number.
             #[must_use]
             pub const fn get(self) -> $inner {
                 self.0
             }
 
-            /// Returns the value that follows this one.
+            /// Returns the next larger value; the largest value returns itself.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
             }
 
-            /// Subtracts, stopping at zero.
+            /// Returns the difference, or zero if `other` is larger.
             #[must_use]
             pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
@@ -43,18 +43,18 @@
 }
 
 whole_number! {
-    /// Number of one roster generation.
+    /// Number of a roster generation.
     Epoch(u64) "{}",
-    /// Number that endpoints compare to refuse orders of an earlier plan holder.
+    /// Number by which endpoints reject orders of an earlier lease holder.
     FencingNumber(u64) "{}",
-    /// Version that the platform gives to an object.
+    /// Version that the platform assigns to an object.
     ObjectVersion(u64) "{}",
-    /// Accelerator memory, in MiB.
+    /// Accelerator memory in MiB.
     MemorySize(u64) "{} MiB",
-    /// Parts of a data centre's share of every limit; 1,024 make the whole.
+    /// Number of parts of a data centre's share of each limit; 1,024 parts are the complete share.
     PartCount(u32) "{}",
-    /// Number by which one VM tells its running requests apart.
+    /// Number that identifies a running request within one VM.
     RequestTicket(u64) "{}",
-    /// Priority class of a request; a larger number is served first.
+    /// Priority class of a request; larger numbers are served first.
     PriorityClass(u8) "{}",
 }
--- a/crates/clementinepond_types/src/quantity/mod.rs
+++ b/crates/clementinepond_types/src/quantity/mod.rs
@@ -1,4 +1,4 @@
-//! Counts, rates and sizes.
+//! Counts, rates and memory sizes.
 
 mod counter;
 mod token;
--- a/crates/clementinepond_types/src/quantity/token.rs
+++ b/crates/clementinepond_types/src/quantity/token.rs
@@ -1,7 +1,8 @@
 //! Token counts and token rates.
 //!
-//! Buckets refill by fractions of a token, so counts are kept in
-//! micro-tokens and every rounding goes against the spender.
+//! Token buckets refill by fractions of a token, so counts are stored in
+//! micro-tokens. Rounding never grants more than the exact amount: token counts
+//! are rounded down and waiting times are rounded up.
 
 use crate::time::TimeSpan;
 use derive_more::{Add, AddAssign, Display, Error, Sum};
@@ -9,22 +10,22 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Micro-tokens in one token.
+/// Micro-tokens per token.
 const MICRO_TOKENS_PER_TOKEN: u64 = 1_000_000;
 
-/// Reason for which a quantity was refused.
+/// Error for a text that is not a valid quantity.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display("{text:?} is not {expected}; write it like {example:?}")]
 pub struct QuantityError {
-    /// Text that was read.
+    /// Invalid text.
     pub text: Box<str>,
-    /// Kind of quantity that was expected.
+    /// Expected kind of quantity, with its article.
     pub expected: &'static str,
-    /// Example of the accepted form.
+    /// Example of a valid text.
     pub example: &'static str,
 }
 
-/// Number of tokens, kept in micro-tokens.
+/// Number of tokens, stored in micro-tokens.
 #[derive(
     Debug,
     Clone,
@@ -44,16 +45,16 @@
 pub struct TokenCount(u64);
 
 impl TokenCount {
-    /// No tokens.
+    /// Zero tokens.
     pub const ZERO: Self = Self(0);
 
-    /// Counts whole tokens.
+    /// Creates a count from whole tokens.
     #[must_use]
     pub const fn new(tokens: u64) -> Self {
         Self(tokens.saturating_mul(MICRO_TOKENS_PER_TOKEN))
     }
 
-    /// Counts micro-tokens.
+    /// Creates a count from micro-tokens.
     #[must_use]
     pub const fn from_micro(micro: u64) -> Self {
         Self(micro)
@@ -65,19 +66,19 @@
         self.0
     }
 
-    /// Returns whole tokens, rounded down.
+    /// Returns the count in whole tokens, rounded down.
     #[must_use]
     pub const fn whole(self) -> u64 {
         self.0 / MICRO_TOKENS_PER_TOKEN
     }
 
-    /// Subtracts, stopping at zero.
+    /// Returns the difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Returns `numerator / denominator` of the count, rounded down.
+    /// Returns `numerator / denominator` of the count, rounded down; zero for a zero denominator.
     #[must_use]
     pub fn fraction(self, numerator: u64, denominator: u64) -> Self {
         Self(scale(self.0, numerator, denominator))
@@ -105,7 +106,7 @@
     }
 }
 
-/// Tokens a second, kept in micro-tokens a second.
+/// Tokens per second, stored in micro-tokens per second.
 #[derive(
     Debug,
     Clone,
@@ -125,34 +126,34 @@
 pub struct TokenRate(u64);
 
 impl TokenRate {
-    /// No tokens a second.
+    /// Zero tokens per second.
     pub const ZERO: Self = Self(0);
 
-    /// Counts whole tokens a second.
+    /// Creates a rate from whole tokens per second.
     #[must_use]
     pub const fn new(tokens_per_second: u64) -> Self {
         Self(tokens_per_second.saturating_mul(MICRO_TOKENS_PER_TOKEN))
     }
 
-    /// Counts micro-tokens a second.
+    /// Creates a rate from micro-tokens per second.
     #[must_use]
     pub const fn from_micro(micro_per_second: u64) -> Self {
         Self(micro_per_second)
     }
 
-    /// Returns micro-tokens a second.
+    /// Returns the rate in micro-tokens per second.
     #[must_use]
     pub const fn micro(self) -> u64 {
         self.0
     }
 
-    /// Returns the tokens that accrue over a span, rounded down.
+    /// Returns the tokens that accrue within `span`, rounded down.
     #[must_use]
     pub fn accrue(self, span: TimeSpan) -> TokenCount {
         TokenCount(scale(self.0, span.micros(), 1_000_000))
     }
 
-    /// Returns the span after which `count` has accrued, rounded up.
+    /// Returns the time in which `count` accrues, rounded up to microseconds.
     ///
     /// Returns `None` when the rate is zero and `count` is not.
     #[must_use]
@@ -169,13 +170,13 @@
         ))
     }
 
-    /// Subtracts, stopping at zero.
+    /// Returns the difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Returns `numerator / denominator` of the rate, rounded down.
+    /// Returns `numerator / denominator` of the rate, rounded down; zero for a zero denominator.
     #[must_use]
     pub fn fraction(self, numerator: u64, denominator: u64) -> Self {
         Self(scale(self.0, numerator, denominator))
--- a/crates/clementinepond_types/src/time/local_time.rs
+++ b/crates/clementinepond_types/src/time/local_time.rs
@@ -1,11 +1,11 @@
-//! Moments on one VM's monotonic clock.
+//! Points in time on the monotonic clock of a VM.
 
 use super::TimeSpan;
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use std::ops::Add;
 
-/// Moment on the local monotonic clock, in microseconds since its origin.
+/// Point in time on the local monotonic clock, in microseconds since its origin.
 #[derive(
     Debug,
     Display,
@@ -27,10 +27,10 @@
 impl LocalTime {
     /// Origin of the clock.
     pub const ORIGIN: Self = Self(0);
-    /// Moment that never comes.
+    /// Latest representable time, used for deadlines that never pass.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// Wraps microseconds since the origin.
+    /// Creates a time from microseconds since the origin.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
@@ -42,13 +42,13 @@
         self.0
     }
 
-    /// Returns the time since an earlier moment, or zero.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn since(self, earlier: Self) -> TimeSpan {
         TimeSpan::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the time left until a later moment, or zero.
+    /// Returns the time left until `later`, or zero if it has passed.
     #[must_use]
     pub const fn until(self, later: Self) -> TimeSpan {
         later.since(self)
--- a/crates/clementinepond_types/src/time/mod.rs
+++ b/crates/clementinepond_types/src/time/mod.rs
@@ -1,8 +1,8 @@
-//! Clock values.
+//! Points in time and lengths of time.
 //!
-//! A [`LocalTime`] is read from one VM's monotonic clock and is never
-//! compared with another VM's. Between VMs only a [`TimeSpan`] travels: the
-//! time left until a deadline.
+//! A [`LocalTime`] comes from the monotonic clock of one VM and cannot be
+//! compared with that of another VM. VMs therefore send each other only a
+//! [`TimeSpan`], such as the time left until a deadline.
 
 mod local_time;
 mod time_span;
--- a/crates/clementinepond_types/src/time/time_span.rs
+++ b/crates/clementinepond_types/src/time/time_span.rs
@@ -6,16 +6,17 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Reason for which a length of time was refused.
+/// Error for a text that is not a length of time.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 #[display(
     "{text:?} is not a length of time; write a whole number and us, ms, s, min or h, like \"300ms\""
 )]
 pub struct TimeError {
-    /// Text that was read.
+    /// Invalid text.
     pub text: Box<str>,
 }
 
+/// Units in text, with their length in microseconds.
 const UNITS: [(&str, u64); 5] = [
     ("us", 1),
     ("ms", 1_000),
@@ -24,7 +25,7 @@
     ("h", 3_600_000_000),
 ];
 
-/// Length of time, in microseconds.
+/// Length of time in microseconds.
 #[derive(
     Debug,
     Clone,
@@ -44,53 +45,55 @@
 pub struct TimeSpan(u64);
 
 impl TimeSpan {
-    /// No time.
+    /// Zero length.
     pub const ZERO: Self = Self(0);
 
-    /// Counts microseconds.
+    /// Creates a length from microseconds.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Counts milliseconds.
+    /// Creates a length from milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
 
-    /// Counts seconds.
+    /// Creates a length from seconds.
     #[must_use]
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs.saturating_mul(1_000_000))
     }
 
-    /// Returns microseconds.
+    /// Returns the length in microseconds.
     #[must_use]
     pub const fn micros(self) -> u64 {
         self.0
     }
 
-    /// Returns whole milliseconds, rounded down.
+    /// Returns the length in milliseconds, rounded down.
     #[must_use]
     pub const fn millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Subtracts, stopping at zero.
+    /// Returns the difference, or zero if `other` is larger.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// Multiplies by `numerator / denominator`, rounded down.
+    /// Returns `numerator / denominator` of the length, rounded down.
+    ///
+    /// A zero denominator counts as 1.
     #[must_use]
     pub fn fraction(self, numerator: u64, denominator: u64) -> Self {
         let scaled = u128::from(self.0) * u128::from(numerator) / u128::from(denominator.max(1));
         Self(u64::try_from(scaled).unwrap_or(u64::MAX))
     }
 
-    /// Converts to the standard library's type.
+    /// Converts to a [`Duration`].
     #[must_use]
     pub const fn duration(self) -> Duration {
         Duration::from_micros(self.0)
--- a/crates/clementinepond_types/tests/text.rs
+++ b/crates/clementinepond_types/tests/text.rs
@@ -1,4 +1,4 @@
-//! Text forms of names, quantities and times.
+//! Parsing and printing of names, quantities and times.
 
 use clementinepond_types::{AccountId, KeyDigest, TimeSpan, TokenCount, TokenRate, VmId};
 
