--- a/crates/clementinepond_standin/src/engine/answer_shape.rs
+++ b/crates/clementinepond_standin/src/engine/answer_envelope.rs
@@ -1,6 +1,6 @@
 //! JSON forms of answers and chunks.
 
-use super::serve_request::ServeForm;
+use super::completion_request::CompletionApi;
 use bytes::Bytes;
 use serde::Serialize;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -43,8 +43,8 @@
 
 /// What stays the same in all chunks of one answer.
 #[derive(Debug, Clone)]
-pub(super) struct AnswerShape {
-    pub(super) form: ServeForm,
+pub(super) struct AnswerEnvelope {
+    pub(super) api: CompletionApi,
     pub(super) id: Box<str>,
     pub(super) model: Box<str>,
     pub(super) created: u64,
@@ -92,11 +92,11 @@
     finish_reason: Option<FinishReason>,
 }
 
-impl AnswerShape {
-    pub(super) fn new(form: ServeForm, id: &str, model: &str) -> Self {
+impl AnswerEnvelope {
+    pub(super) fn new(api: CompletionApi, id: &str, model: &str) -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
-            form,
+            api,
             id: id.into(),
             model: model.into(),
             created: since.map_or(0, |time| time.as_secs()),
@@ -107,8 +107,8 @@
     pub(super) fn chunk(&self, first: bool, text: &str, end: Option<AnswerEnd>) -> Bytes {
         let finish_reason = end.map(|end| end.reason);
         let usage = end.map(|end| end.usage);
-        let json = match self.form {
-            ServeForm::Completion => {
+        let json = match self.api {
+            CompletionApi::Completion => {
                 let choice = TextChoice {
                     index: 0,
                     text,
@@ -117,7 +117,7 @@
                 };
                 self.body("text_completion", choice, usage)
             }
-            ServeForm::Chat => {
+            CompletionApi::Chat => {
                 let choice = DeltaChoice {
                     index: 0,
                     delta: ChatMessage {
@@ -134,10 +134,10 @@
     }
 
     /// Returns a whole answer.
-    pub(super) fn whole(&self, text: &str, end: AnswerEnd) -> Vec<u8> {
+    pub(super) fn complete(&self, text: &str, end: AnswerEnd) -> Vec<u8> {
         let finish_reason = Some(end.reason);
-        match self.form {
-            ServeForm::Completion => {
+        match self.api {
+            CompletionApi::Completion => {
                 let choice = TextChoice {
                     index: 0,
                     text,
@@ -146,7 +146,7 @@
                 };
                 self.body("text_completion", choice, Some(end.usage))
             }
-            ServeForm::Chat => {
+            CompletionApi::Chat => {
                 let choice = ChatChoice {
                     index: 0,
                     message: ChatMessage {
--- a/crates/clementinepond_standin/src/engine/batch_queue.rs
+++ b/crates/clementinepond_standin/src/engine/batch_queue.rs
@@ -1,6 +1,6 @@
 //! Places in the batch, given out by priority.
 
-use crate::network::hold;
+use crate::network::lock;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -41,7 +41,7 @@
 
     /// Waits for a place; `None` when too many are waiting.
     pub(super) async fn enter(self: &Arc<Self>, priority: u8) -> Option<BatchSlot> {
-        let (position, place) = {
+        let (position, slot_receiver) = {
             let mut state = self.lock();
             if state.running < self.size {
                 state.running += 1;
@@ -52,15 +52,15 @@
             }
             state.arrivals += 1;
             let position = (Reverse(priority), state.arrivals);
-            let (giver, place) = oneshot::channel();
-            state.waiting.insert(position, giver);
-            (position, place)
+            let (slot_sender, slot_receiver) = oneshot::channel();
+            state.waiting.insert(position, slot_sender);
+            (position, slot_receiver)
         };
         let _waiting = QueuedEntry {
             queue: self,
             position,
         };
-        place.await.ok()
+        slot_receiver.await.ok()
     }
 
     /// Returns the number of running and of waiting requests.
@@ -76,11 +76,11 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BatchState> {
-        hold(&self.state)
+        lock(&self.state)
     }
 
     /// Gives a place to the first that waits, or frees it.
-    fn pass_on(self: &Arc<Self>) {
+    fn release_slot(self: &Arc<Self>) {
         let next = {
             let mut state = self.lock();
             let next = state.waiting.pop_first();
@@ -89,16 +89,16 @@
             }
             next
         };
-        if let Some((_, giver)) = next {
+        if let Some((_, slot_sender)) = next {
             // A slot that nobody takes is dropped here, which passes it on.
-            drop(giver.send(self.slot()));
+            drop(slot_sender.send(self.slot()));
         }
     }
 }
 
 impl Drop for BatchSlot {
     fn drop(&mut self) {
-        self.queue.pass_on();
+        self.queue.release_slot();
     }
 }
 
--- a/crates/clementinepond_standin/src/engine/cache_event.rs
+++ b/crates/clementinepond_standin/src/engine/cache_event.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 /// Events kept for readers.
-const KEPT_EVENTS: usize = 4_096;
+const MAX_RETAINED_EVENTS: usize = 4_096;
 
 /// What happened to a prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,11 +61,11 @@
         &mut self,
         op: CacheOperation,
         prefix: u64,
-        loss: &mut FaultRate,
+        loss_rate: &mut FaultRate,
         random: &mut impl Rng,
     ) {
         self.sequence += 1;
-        if loss.strikes(random) {
+        if loss_rate.triggers(random) {
             return;
         }
         let event = CacheEvent {
@@ -75,13 +75,13 @@
         };
         let due = Instant::now() + self.lag.duration();
         self.events.push_back((due, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
     }
 
     /// Returns what is shown from a number on.
-    pub(super) fn from(&self, from: u64) -> CacheEventList {
+    pub(super) fn visible_from(&self, from: u64) -> CacheEventList {
         let now = Instant::now();
         let due = self.events.iter().take_while(|(due, _)| *due <= now);
         let events = due.map(|(_, event)| event);
--- a/crates/clementinepond_standin/src/engine/serve_request.rs
+++ b/crates/clementinepond_standin/src/engine/completion_request.rs
@@ -9,7 +9,7 @@
 
 /// Form of the request and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ServeForm {
+pub(super) enum CompletionApi {
     /// `/v1/completions`.
     Completion,
     /// `/v1/chat/completions`.
@@ -18,8 +18,8 @@
 
 /// A completion request.
 #[derive(Debug, Clone)]
-pub(super) struct ServeRequest {
-    pub(super) form: ServeForm,
+pub(super) struct CompletionRequest {
+    pub(super) api: CompletionApi,
     pub(super) id: Box<str>,
     pub(super) model: Box<str>,
     pub(super) prompt: Box<str>,
@@ -73,20 +73,20 @@
     text: String,
 }
 
-impl ServeRequest {
+impl CompletionRequest {
     /// Reads a request; the error says what is wrong with the body.
-    pub(super) fn read(form: ServeForm, call: &HttpCall) -> Result<Self, String> {
+    pub(super) fn parse(api: CompletionApi, call: &HttpCall) -> Result<Self, String> {
         let body = serde_json::from_slice::<RequestBody>(&call.body);
         let body = body.map_err(|error| format!("{error}; send a body in the usual form"))?;
-        let prompt = match form {
-            ServeForm::Completion => body.prompt.map_or_else(String::new, join_prompt),
-            ServeForm::Chat => chat_prompt(&body.messages),
+        let prompt = match api {
+            CompletionApi::Completion => body.prompt.map_or_else(String::new, join_prompt),
+            CompletionApi::Chat => chat_prompt(&body.messages),
         };
         let id = call.header("x-request-id");
         let priority = call.header("x-priority").and_then(|text| text.parse().ok());
         let token_limit = body.max_completion_tokens.or(body.max_tokens);
         Ok(Self {
-            form,
+            api,
             id: id.map_or_else(|| Uuid::new_v4().to_string().into(), Into::into),
             model: body.model,
             prompt: prompt.into(),
--- a/crates/clementinepond_standin/src/engine/engine_faults.rs
+++ b/crates/clementinepond_standin/src/engine/engine_faults.rs
@@ -10,7 +10,7 @@
 pub struct EngineFaults {
     /// Texts in a prompt that crash the engine once the prompt runs.
     pub crash_markers: Vec<Box<str>>,
-    /// Time from a crash to the next life; none to stay down.
+    /// Time from a crash to the next process; none to stay down.
     pub down_for: Option<TimeSpan>,
     /// Connections broken before the body is read.
     pub resets_before_read: FaultRate,
--- a/crates/clementinepond_standin/src/engine/engine_memory.rs
+++ b/crates/clementinepond_standin/src/engine/engine_memory.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub(super) struct EngineMemory {
     total: MemorySize,
-    promised: MemorySize,
+    reserved: MemorySize,
     models: BTreeMap<ModelKey, LoadedModel>,
     adapters: BTreeMap<AdapterId, LoadedAdapter>,
     ready_count: u64,
@@ -64,7 +64,7 @@
     pub(super) fn new(total: MemorySize) -> Self {
         Self {
             total,
-            promised: MemorySize::default(),
+            reserved: MemorySize::default(),
             models: BTreeMap::new(),
             adapters: BTreeMap::new(),
             ready_count: 0,
@@ -73,19 +73,19 @@
     }
 
     /// Promises the memory that an order needs; `None` when it is not there.
-    pub(super) fn promise(&mut self, action: &OrderAction) -> Option<MemorySize> {
-        let needed = self.needed(action);
-        let after = self.used() + self.promised + needed;
-        if needed > MemorySize::default() && after > self.total {
+    pub(super) fn reserve(&mut self, action: &OrderAction) -> Option<MemorySize> {
+        let required_memory = self.required_memory(action);
+        let after = self.used() + self.reserved + required_memory;
+        if required_memory > MemorySize::default() && after > self.total {
             return None;
         }
-        self.promised += needed;
-        Some(needed)
+        self.reserved += required_memory;
+        Some(required_memory)
     }
 
-    /// Applies an order for which memory was promised.
-    pub(super) fn apply(&mut self, action: OrderAction, promised: MemorySize) -> FollowUp {
-        self.promised = self.promised.saturating_sub(promised);
+    /// Applies an order for which memory was reserved.
+    pub(super) fn apply(&mut self, action: OrderAction, reserved: MemorySize) -> FollowUp {
+        self.reserved = self.reserved.saturating_sub(reserved);
         match action {
             OrderAction::LoadModel {
                 model,
@@ -147,7 +147,7 @@
 
     /// Finds the model that serves a name and counts one more request on it.
     pub(super) fn begin_run(&mut self, name: &str) -> Option<ModelKey> {
-        let key = self.serving(name)?;
+        let key = self.find_serving_model(name)?;
         self.models.get_mut(&key)?.running += 1;
         Some(key)
     }
@@ -160,7 +160,7 @@
     }
 
     /// Returns the newest ready model that serves a model or adapter name.
-    pub(super) fn serving(&self, name: &str) -> Option<ModelKey> {
+    pub(super) fn find_serving_model(&self, name: &str) -> Option<ModelKey> {
         let adapter = self.adapters.iter().find(|(key, _)| key.as_str() == name);
         let model = match adapter {
             Some((_, adapter)) if adapter.ready => adapter.model.as_str(),
@@ -205,7 +205,7 @@
         ready.map(report).collect()
     }
 
-    fn needed(&self, action: &OrderAction) -> MemorySize {
+    fn required_memory(&self, action: &OrderAction) -> MemorySize {
         match action {
             OrderAction::LoadModel {
                 model,
--- a/crates/clementinepond_standin/src/engine/engine_options.rs
+++ b/crates/clementinepond_standin/src/engine/engine_options.rs
@@ -39,7 +39,7 @@
     pub endpoint: EndpointId,
     /// Seed of the faults that strike by chance and of answer lengths.
     pub seed: u64,
-    /// Incarnation of the first life; taken from the clock when absent.
+    /// Incarnation of the first process; taken from the clock when absent.
     pub incarnation: Option<u64>,
     /// Accelerator memory.
     pub memory_mib: MemorySize,
--- a/crates/clementinepond_standin/src/engine/engine_life.rs
+++ b/crates/clementinepond_standin/src/engine/engine_process.rs
@@ -1,4 +1,4 @@
-//! One life of an engine, from start to crash.
+//! One process of an engine, from start to crash.
 
 use super::batch_queue::BatchQueue;
 use super::cache_event::{CacheEventLog, CacheOperation};
@@ -8,7 +8,7 @@
 use super::engine_order::{EngineOrder, OrderAction};
 use super::prefix_cache::PrefixCache;
 use crate::fault::FaultRate;
-use crate::network::hold;
+use crate::network::lock;
 use clementinepond_types::{FencingNumber, MemorySize};
 use log::info;
 use rand_chacha::ChaCha8Rng;
@@ -29,13 +29,13 @@
 #[derive(Debug)]
 struct AcceptedOrder {
     order: EngineOrder,
-    promised: MemorySize,
+    reserved: MemorySize,
     due: Instant,
 }
 
-/// State behind the lock of a life.
+/// State behind the lock of a process.
 #[derive(Debug)]
-pub(super) struct LifeState {
+pub(super) struct ProcessState {
     pub(super) memory: EngineMemory,
     pub(super) cache: PrefixCache,
     pub(super) cache_log: CacheEventLog,
@@ -48,9 +48,9 @@
     cancels: BTreeMap<Box<str>, BTreeMap<u64, CancellationToken>>,
 }
 
-/// One life of an engine.
+/// One process of an engine.
 #[derive(Debug)]
-pub(super) struct EngineLife {
+pub(super) struct EngineProcess {
     pub(super) options: Arc<EngineOptions>,
     pub(super) incarnation: u64,
     pub(super) batch: Arc<BatchQueue>,
@@ -58,11 +58,11 @@
     pub(super) cache_changed: Notify,
     run_ended: Notify,
     orders: mpsc::UnboundedSender<AcceptedOrder>,
-    state: Mutex<LifeState>,
+    state: Mutex<ProcessState>,
 }
 
-impl EngineLife {
-    /// Starts a life, with the starting models in memory or without.
+impl EngineProcess {
+    /// Starts a process, with the starting models in memory or without.
     pub(super) fn start(
         options: &Arc<EngineOptions>,
         incarnation: u64,
@@ -72,9 +72,9 @@
         let (orders, accepted) = mpsc::unbounded_channel();
         let mut memory = EngineMemory::new(options.memory_mib);
         if loaded {
-            load_start(&mut memory, options);
+            load_initial(&mut memory, options);
         }
-        let state = LifeState {
+        let state = ProcessState {
             memory,
             cache: PrefixCache::new(options.cached_prefixes),
             cache_log: CacheEventLog::new(options.cache_event_lag),
@@ -86,7 +86,7 @@
             runs: 0,
             cancels: BTreeMap::new(),
         };
-        let life = Arc::new(Self {
+        let process = Arc::new(Self {
             options: Arc::clone(options),
             incarnation,
             batch: BatchQueue::new(options.batch_size, options.queue_length),
@@ -96,12 +96,12 @@
             orders,
             state: Mutex::new(state),
         });
-        tokio::spawn(apply_orders(Arc::clone(&life), accepted));
-        life
+        tokio::spawn(apply_orders(Arc::clone(&process), accepted));
+        process
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, LifeState> {
-        hold(&self.state)
+    pub(super) fn lock(&self) -> MutexGuard<'_, ProcessState> {
+        lock(&self.state)
     }
 
     /// Accepts or refuses an order.
@@ -114,17 +114,17 @@
         if state.seen_orders.contains(&order.order) {
             return OrderOutcome::Accepted;
         }
-        let Some(promised) = state.memory.promise(&order.action) else {
+        let Some(reserved) = state.memory.reserve(&order.action) else {
             return OrderOutcome::NoMemory;
         };
         state.seen_orders.insert(order.order);
         let due = Instant::now() + self.options.order_time.duration();
         let accepted = AcceptedOrder {
             order,
-            promised,
+            reserved,
             due,
         };
-        // The receiver lives as long as this life; a life that ended applies nothing.
+        // The receiver shared_state as long as this process; a process that ended applies nothing.
         let _ = self.orders.send(accepted);
         OrderOutcome::Accepted
     }
@@ -138,7 +138,7 @@
         {
             return report.clone();
         }
-        let report = self.fresh_report(&mut state, draining);
+        let report = self.build_report(&mut state, draining);
         state.report = Some((now, report.clone()));
         report
     }
@@ -147,18 +147,18 @@
     pub(super) fn touch_cache(
         &self,
         prefix: u64,
-        loss: &mut FaultRate,
+        loss_rate: &mut FaultRate,
         random: &mut ChaCha8Rng,
     ) -> bool {
         let mut state = self.lock();
         let change = state.cache.touch(prefix);
         if !change.hit {
             let log = &mut state.cache_log;
-            log.add(CacheOperation::Stored, prefix, loss, random);
+            log.add(CacheOperation::Stored, prefix, loss_rate, random);
         }
         if let Some(evicted) = change.evicted {
             let log = &mut state.cache_log;
-            log.add(CacheOperation::Evicted, evicted, loss, random);
+            log.add(CacheOperation::Evicted, evicted, loss_rate, random);
         }
         drop(state);
         self.cache_changed.notify_waiters();
@@ -166,7 +166,7 @@
     }
 
     /// Counts a request as running; `None` when no ready model serves it.
-    pub(super) fn begin_run(self: &Arc<Self>, id: &str, name: &str) -> Option<RunGuard> {
+    pub(super) fn begin_run(self: &Arc<Self>, id: &str, name: &str) -> Option<InFlightGuard> {
         let mut state = self.lock();
         let model = state.memory.begin_run(name)?;
         state.runs += 1;
@@ -174,8 +174,8 @@
         let cancel = self.ended.child_token();
         let cancels = state.cancels.entry(id.into()).or_default();
         cancels.insert(number, cancel.clone());
-        Some(RunGuard {
-            life: Arc::clone(self),
+        Some(InFlightGuard {
+            process: Arc::clone(self),
             id: id.into(),
             number,
             model,
@@ -190,7 +190,7 @@
         }
     }
 
-    fn fresh_report(&self, state: &mut LifeState, draining: bool) -> EndpointReport {
+    fn build_report(&self, state: &mut ProcessState, draining: bool) -> EndpointReport {
         state.report_number += 1;
         let (running, queued) = self.batch.load();
         EndpointReport {
@@ -209,7 +209,7 @@
         }
     }
 
-    async fn finish(&self, follow_up: FollowUp) {
+    async fn complete_follow_up(&self, follow_up: FollowUp) {
         match follow_up {
             FollowUp::Nothing => {}
             FollowUp::FinishModel(key) => {
@@ -243,17 +243,17 @@
 
 /// Running request; no longer counted once dropped.
 #[derive(Debug)]
-pub(super) struct RunGuard {
-    life: Arc<EngineLife>,
+pub(super) struct InFlightGuard {
+    process: Arc<EngineProcess>,
     id: Box<str>,
     number: u64,
     pub(super) model: ModelKey,
     pub(super) cancel: CancellationToken,
 }
 
-impl Drop for RunGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut state = self.life.lock();
+        let mut state = self.process.lock();
         state.memory.end_run(&self.model);
         if let Some(cancels) = state.cancels.get_mut(&self.id) {
             cancels.remove(&self.number);
@@ -262,11 +262,11 @@
             }
         }
         drop(state);
-        self.life.run_ended.notify_waiters();
+        self.process.run_ended.notify_waiters();
     }
 }
 
-fn load_start(memory: &mut EngineMemory, options: &EngineOptions) {
+fn load_initial(memory: &mut EngineMemory, options: &EngineOptions) {
     let models = options.models.iter().map(|start| OrderAction::LoadModel {
         model: start.model.clone(),
         version: start.version.clone(),
@@ -287,26 +287,31 @@
     }
 }
 
-/// Applies the orders of one life in the order of acceptance.
-async fn apply_orders(life: Arc<EngineLife>, mut accepted: mpsc::UnboundedReceiver<AcceptedOrder>) {
-    let ended = life.ended.clone();
+/// Applies the orders of one process in the order of acceptance.
+async fn apply_orders(
+    process: Arc<EngineProcess>,
+    mut accepted: mpsc::UnboundedReceiver<AcceptedOrder>,
+) {
+    let ended = process.ended.clone();
     let applying = async {
         while let Some(next) = accepted.recv().await {
             tokio::time::sleep_until(next.due).await;
             let number = next.order.order;
             let follow_up = {
-                let mut state = life.lock();
+                let mut state = process.lock();
                 state.last_order = number;
-                state.memory.apply(next.order.action, next.promised)
+                state.memory.apply(next.order.action, next.reserved)
             };
             info!(
                 "event=engine_order_applied endpoint={} order={number}",
-                life.options.endpoint
+                process.options.endpoint
             );
-            let life = Arc::clone(&life);
+            let process = Arc::clone(&process);
             tokio::spawn(async move {
-                let ended = life.ended.clone();
-                ended.run_until_cancelled(life.finish(follow_up)).await;
+                let ended = process.ended.clone();
+                ended
+                    .run_until_cancelled(process.complete_follow_up(follow_up))
+                    .await;
             });
         }
     };
--- a/crates/clementinepond_standin/src/engine/engine_server.rs
+++ b/crates/clementinepond_standin/src/engine/engine_server.rs
@@ -2,12 +2,12 @@
 
 use super::endpoint_report::EndpointReport;
 use super::engine_faults::EngineFaults;
-use super::engine_life::EngineLife;
 use super::engine_options::EngineOptions;
+use super::engine_process::EngineProcess;
 use super::handler::EngineHandler;
 use crate::fault::FaultRate;
 use crate::network::{
-    ListenTask, PENDING_RESTARTS, RestartOrder, StandinError, first_incarnation, hold,
+    ListenTask, RESTART_QUEUE_CAPACITY, RestartRequest, StandinError, first_incarnation, lock,
 };
 use crate::record::CallRecord;
 use clementinepond_types::TimeSpan;
@@ -28,65 +28,65 @@
     pub(super) random: ChaCha8Rng,
 }
 
-/// State shared by the handle and all lives.
+/// State shared by the handle and all shared_state.
 #[derive(Debug)]
 pub(super) struct EngineShared {
     options: Arc<EngineOptions>,
     cancel: CancellationToken,
-    restarts: mpsc::Sender<RestartOrder>,
-    life: Mutex<Arc<EngineLife>>,
+    restarts: mpsc::Sender<RestartRequest>,
+    process: Mutex<Arc<EngineProcess>>,
     faults: Mutex<FaultState>,
     record: Mutex<CallRecord>,
     draining: AtomicBool,
 }
 
 impl EngineShared {
-    pub(super) fn life(&self) -> Arc<EngineLife> {
-        Arc::clone(&hold(&self.life))
+    pub(super) fn process(&self) -> Arc<EngineProcess> {
+        Arc::clone(&lock(&self.process))
     }
 
     pub(super) fn record(&self) -> MutexGuard<'_, CallRecord> {
-        hold(&self.record)
+        lock(&self.record)
     }
 
     pub(super) fn faults(&self) -> MutexGuard<'_, FaultState> {
-        hold(&self.faults)
+        lock(&self.faults)
     }
 
-    /// Returns whether a fault strikes this time.
-    pub(super) fn strikes(&self, rate: impl FnOnce(&mut EngineFaults) -> &mut FaultRate) -> bool {
+    /// Returns whether a fault triggers this time.
+    pub(super) fn triggers(&self, rate: impl FnOnce(&mut EngineFaults) -> &mut FaultRate) -> bool {
         let mut state = self.faults();
         let FaultState { faults, random } = &mut *state;
-        rate(faults).strikes(random)
+        rate(faults).triggers(random)
     }
 
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Ends the current life: connections break and nothing listens.
+    /// Ends the current process: connections break and nothing listens.
     pub(super) fn crash(&self, down_for: Option<TimeSpan>) {
-        let life = self.life();
-        if life.ended.is_cancelled() {
+        let process = self.process();
+        if process.ended.is_cancelled() {
             return;
         }
         info!(
             "event=engine_crashed endpoint={} incarnation={}",
-            self.options.endpoint, life.incarnation
+            self.options.endpoint, process.incarnation
         );
-        life.ended.cancel();
+        process.ended.cancel();
         // The channel is full only when more crashes than it holds are due.
-        let _ = self.restarts.try_send(RestartOrder { down_for });
+        let _ = self.restarts.try_send(RestartRequest { down_for });
     }
 
-    fn next_life(&self) {
-        let mut life = hold(&self.life);
-        if !life.ended.is_cancelled() {
+    fn start_next_process(&self) {
+        let mut process = lock(&self.process);
+        if !process.ended.is_cancelled() {
             return;
         }
         let ended = self.cancel.child_token();
-        let incarnation = life.incarnation + 1;
-        *life = EngineLife::start(
+        let incarnation = process.incarnation + 1;
+        *process = EngineProcess::start(
             &self.options,
             incarnation,
             self.options.restart_loaded,
@@ -114,13 +114,13 @@
     ) -> Result<Self, StandinError> {
         let options = Arc::new(options);
         let incarnation = options.incarnation.unwrap_or_else(first_incarnation);
-        let life = EngineLife::start(&options, incarnation, true, cancel.child_token());
-        let (restarts, orders) = mpsc::channel(PENDING_RESTARTS);
+        let process = EngineProcess::start(&options, incarnation, true, cancel.child_token());
+        let (restarts, restart_requests) = mpsc::channel(RESTART_QUEUE_CAPACITY);
         let shared = Arc::new(EngineShared {
             options: Arc::clone(&options),
             cancel: cancel.clone(),
             restarts,
-            life: Mutex::new(life),
+            process: Mutex::new(process),
             faults: Mutex::new(FaultState {
                 faults: options.faults.clone(),
                 random: ChaCha8Rng::seed_from_u64(options.seed),
@@ -128,13 +128,13 @@
             record: Mutex::new(CallRecord::new(options.recorded_calls)),
             draining: AtomicBool::new(false),
         });
-        let lives = Arc::clone(&shared);
+        let shared_state = Arc::clone(&shared);
         let routes = move || {
-            lives.next_life();
-            let handler = EngineHandler::new(Arc::clone(&lives), lives.life());
+            shared_state.start_next_process();
+            let handler = EngineHandler::new(Arc::clone(&shared_state), shared_state.process());
             Router::with_path("{**path}").goal(handler)
         };
-        let task = ListenTask::start(options.listen, orders, cancel, routes).await?;
+        let task = ListenTask::start(options.listen, restart_requests, cancel, routes).await?;
         info!(
             "event=engine_started endpoint={} address={}",
             options.endpoint,
@@ -160,18 +160,18 @@
     }
 
     /// Breaks all connections and stops to listen; listens again with a new
-    /// incarnation after `down_for`, or when told by [`Self::come_back`].
+    /// incarnation after `down_for`, or when told by [`Self::restart`].
     pub fn crash(&self, down_for: Option<TimeSpan>) {
         self.shared.crash(down_for);
     }
 
     /// Listens again after a crash without an end.
-    pub fn come_back(&self) {
-        let order = RestartOrder {
+    pub fn restart(&self) {
+        let request = RestartRequest {
             down_for: Some(TimeSpan::ZERO),
         };
         // The channel is full only when more crashes than it holds are due.
-        let _ = self.shared.restarts.try_send(order);
+        let _ = self.shared.restarts.try_send(request);
     }
 
     /// Returns what it saw.
@@ -184,6 +184,6 @@
     #[must_use]
     pub fn report(&self) -> EndpointReport {
         let draining = self.shared.is_draining();
-        self.shared.life().report(draining)
+        self.shared.process().report(draining)
     }
 }
--- a/crates/clementinepond_standin/src/engine/generation.rs
+++ b/crates/clementinepond_standin/src/engine/generation.rs
@@ -1,8 +1,8 @@
 //! Tokens of one answer, one step of the batch after the other.
 
-use super::answer_shape::{AnswerEnd, AnswerShape, FinishReason, STREAM_END, TokenUsage};
+use super::answer_envelope::{AnswerEnd, AnswerEnvelope, FinishReason, STREAM_END, TokenUsage};
 use super::batch_queue::BatchSlot;
-use super::engine_life::{EngineLife, RunGuard};
+use super::engine_process::{EngineProcess, InFlightGuard};
 use super::token_text::token_text;
 use bytes::Bytes;
 use clementinepond_types::TimeSpan;
@@ -12,13 +12,13 @@
 
 /// What a fault makes of a stream after some tokens.
 #[derive(Debug, Clone)]
-pub(super) enum StreamTurn {
+pub(super) enum StreamFault {
     /// The connection breaks.
     Break,
     /// The stream ends without its last event.
     EndCleanly,
     /// Chunks of another answer follow.
-    Cross(AnswerShape, u64),
+    Cross(AnswerEnvelope, u64),
 }
 
 /// Tokens of an answer.
@@ -43,13 +43,13 @@
 /// Answer that is being generated; holds its place in the batch.
 #[derive(Debug)]
 pub(super) struct Generation {
-    pub(super) life: Arc<EngineLife>,
-    pub(super) run: RunGuard,
+    pub(super) process: Arc<EngineProcess>,
+    pub(super) run: InFlightGuard,
     pub(super) _slot: BatchSlot,
-    pub(super) shape: AnswerShape,
+    pub(super) envelope: AnswerEnvelope,
     pub(super) plan: TokenPlan,
     pub(super) extra_token_time: TimeSpan,
-    pub(super) turn: Option<(u32, StreamTurn)>,
+    pub(super) stream_fault: Option<(u32, StreamFault)>,
 }
 
 /// Stream over the events of a generation.
@@ -57,15 +57,15 @@
 pub(super) struct EventStream {
     generation: Generation,
     sent: u32,
-    step_at: Instant,
+    last_step: Instant,
     state: StreamState,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StreamState {
     Tokens,
-    End,
-    Over,
+    DoneEvent,
+    Closed,
 }
 
 /// Sign that a request was cancelled or its engine ended.
@@ -74,15 +74,15 @@
 
 impl Generation {
     /// Generates the whole answer.
-    pub(super) async fn whole(mut self) -> Result<Vec<u8>, RunCancelled> {
+    pub(super) async fn complete(mut self) -> Result<Vec<u8>, RunCancelled> {
         let mut text = String::new();
-        let mut step_at = Instant::now();
+        let mut last_step = Instant::now();
         while self.plan.next < self.plan.end {
-            step_at = self.step(step_at).await?;
+            last_step = self.step(last_step).await?;
             text.push_str(&token_text(self.plan.seed, self.plan.next));
             self.plan.next += 1;
         }
-        Ok(self.shape.whole(&text, self.plan.answer_end()))
+        Ok(self.envelope.complete(&text, self.plan.answer_end()))
     }
 
     /// Turns into a stream of server-sent events.
@@ -90,15 +90,15 @@
         EventStream {
             generation: self,
             sent: 0,
-            step_at: Instant::now(),
+            last_step: Instant::now(),
             state: StreamState::Tokens,
         }
     }
 
     /// Waits for the next step of the batch.
     async fn step(&self, last: Instant) -> Result<Instant, RunCancelled> {
-        let options = &self.life.options;
-        let (running, _) = self.life.batch.load();
+        let options = &self.process.options;
+        let (running, _) = self.process.batch.load();
         let by_load = options.token_time_per_running.micros() * running as u64;
         let time = options.token_time + TimeSpan::from_micros(by_load) + self.extra_token_time;
         let next = last + time.duration();
@@ -122,22 +122,22 @@
     /// Returns the next event; an error breaks the connection.
     pub(super) async fn next(&mut self) -> Option<io::Result<Bytes>> {
         match self.state {
-            StreamState::Over => return None,
-            StreamState::End => {
-                self.state = StreamState::Over;
+            StreamState::Closed => return None,
+            StreamState::DoneEvent => {
+                self.state = StreamState::Closed;
                 return Some(Ok(STREAM_END));
             }
             StreamState::Tokens => {}
         }
-        match self.turn_now() {
-            Some(StreamTurn::EndCleanly) => return None,
-            Some(StreamTurn::Break) => {
+        match self.take_due_fault() {
+            Some(StreamFault::EndCleanly) => return None,
+            Some(StreamFault::Break) => {
                 // Lets the server send what was written before it breaks.
                 tokio::task::yield_now().await;
-                return Some(self.break_off("truncated"));
+                return Some(self.abort_stream("truncated"));
             }
-            Some(StreamTurn::Cross(shape, seed)) => {
-                self.generation.shape = shape;
+            Some(StreamFault::Cross(envelope, seed)) => {
+                self.generation.envelope = envelope;
                 self.generation.plan.seed = seed;
             }
             None => {}
@@ -150,33 +150,33 @@
         let left = generation.plan.end.saturating_sub(generation.plan.next);
         let mut text = String::new();
         if left > 0 {
-            match generation.step(self.step_at).await {
-                Ok(at) => self.step_at = at,
-                Err(RunCancelled) => return self.break_off("cancelled"),
+            match generation.step(self.last_step).await {
+                Ok(step) => self.last_step = step,
+                Err(RunCancelled) => return self.abort_stream("cancelled"),
             }
             text = token_text(generation.plan.seed, generation.plan.next);
             generation.plan.next += 1;
         }
         let last = left <= 1;
         if last {
-            self.state = StreamState::End;
+            self.state = StreamState::DoneEvent;
         }
         let end = last.then(|| generation.plan.answer_end());
-        let chunk = generation.shape.chunk(self.sent == 0, &text, end);
+        let chunk = generation.envelope.chunk(self.sent == 0, &text, end);
         self.sent += 1;
         Ok(chunk)
     }
 
-    fn turn_now(&mut self) -> Option<StreamTurn> {
-        let due = self.generation.turn.as_ref();
+    fn take_due_fault(&mut self) -> Option<StreamFault> {
+        let due = self.generation.stream_fault.as_ref();
         due.is_some_and(|(after, _)| *after <= self.sent)
-            .then(|| self.generation.turn.take())
+            .then(|| self.generation.stream_fault.take())
             .flatten()
-            .map(|(_, turn)| turn)
+            .map(|(_, fault)| fault)
     }
 
-    fn break_off(&mut self, reason: &'static str) -> io::Result<Bytes> {
-        self.state = StreamState::Over;
+    fn abort_stream(&mut self, reason: &'static str) -> io::Result<Bytes> {
+        self.state = StreamState::Closed;
         Err(io::Error::other(reason))
     }
 }
--- a/crates/clementinepond_standin/src/engine/handler.rs
+++ b/crates/clementinepond_standin/src/engine/handler.rs
@@ -1,10 +1,10 @@
 //! Calls to an engine.
 
-use super::engine_life::{EngineLife, OrderOutcome};
+use super::completion_request::{CompletionApi, CompletionRequest};
 use super::engine_order::EngineOrder;
+use super::engine_process::{EngineProcess, OrderOutcome};
 use super::engine_server::EngineShared;
 use super::generation::EventStream;
-use super::serve_request::{ServeForm, ServeRequest};
 use super::serving::{AnswerFaults, NotServed, prepare};
 use crate::network::{
     HttpCall, abort_connection, answer_json, query_number, read_call, set_header,
@@ -19,17 +19,17 @@
 use tokio::time::Instant;
 
 /// Header by which an answer names its request.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Header of a refusal before anything ran.
-const NOT_RUN: &str = "x-not-run";
+const NOT_RUN_HEADER: &str = "x-not-run";
 /// Longest wait for cache events.
-const EVENT_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(600);
+const CACHE_EVENT_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(600);
 
-/// Handler of every path, for one life of the engine.
+/// Handler of every path, for one process of the engine.
 #[derive(Debug)]
 pub(super) struct EngineHandler {
     shared: Arc<EngineShared>,
-    life: Arc<EngineLife>,
+    process: Arc<EngineProcess>,
 }
 
 #[async_trait]
@@ -42,50 +42,54 @@
         _flow: &mut FlowCtrl,
     ) {
         let serves = request.uri().path().starts_with("/v1/");
-        if serves && self.shared.strikes(|faults| &mut faults.resets_before_read) {
+        if serves
+            && self
+                .shared
+                .triggers(|faults| &mut faults.resets_before_read)
+        {
             return abort_connection(request);
         }
         let Some(call) = read_call(request).await else {
             return abort_connection(request);
         };
-        self.shared.record().note_call(&call);
-        let kept = self.dispatch(request, &call, response).await;
+        self.shared.record().record_call(&call);
+        let answered = self.dispatch(request, &call, response).await;
         info!(
-            "event=engine_call endpoint={} method={} path={} status={} answered={kept}",
-            self.life.options.endpoint,
+            "event=engine_call endpoint={} method={} path={} status={} answered={answered}",
+            self.process.options.endpoint,
             call.method,
             call.path,
             response.status_code.map_or(0, |status| status.as_u16())
         );
-        if !kept {
+        if !answered {
             abort_connection(request);
         }
     }
 }
 
 impl EngineHandler {
-    pub(super) fn new(shared: Arc<EngineShared>, life: Arc<EngineLife>) -> Self {
-        Self { shared, life }
+    pub(super) fn new(shared: Arc<EngineShared>, process: Arc<EngineProcess>) -> Self {
+        Self { shared, process }
     }
 
     /// Answers a call; false when the connection breaks instead.
     async fn dispatch(&self, request: &Request, call: &HttpCall, response: &mut Response) -> bool {
-        match (&call.method, call.parts().as_slice()) {
+        match (&call.method, call.path_segments().as_slice()) {
             (&Method::POST, ["v1", "completions"]) => {
-                self.serve(ServeForm::Completion, call, response).await
+                self.serve(CompletionApi::Completion, call, response).await
             }
             (&Method::POST, ["v1", "chat", "completions"]) => {
-                self.serve(ServeForm::Chat, call, response).await
+                self.serve(CompletionApi::Chat, call, response).await
             }
             (&Method::DELETE, ["v1", "requests", id]) => {
-                self.life.cancel(id);
+                self.process.cancel(id);
                 answer_json(response, StatusCode::OK, &json!({}));
                 true
             }
             (&Method::GET, ["report"]) => {
-                let report = self.life.report(self.shared.is_draining());
+                let report = self.process.report(self.shared.is_draining());
                 answer_json(response, StatusCode::OK, &report);
-                !self.shared.strikes(|faults| &mut faults.lost_reports)
+                !self.shared.triggers(|faults| &mut faults.lost_reports)
             }
             (&Method::GET, ["cache-events"]) => {
                 self.cache_events(request, response).await;
@@ -94,20 +98,20 @@
             (&Method::POST, ["orders"]) => self.order(call, response),
             _ => {
                 let message = "there is no such path; see the endpoint protocol";
-                fault(response, StatusCode::NOT_FOUND, "not_found", message);
+                error_answer(response, StatusCode::NOT_FOUND, "not_found", message);
                 true
             }
         }
     }
 
-    async fn serve(&self, form: ServeForm, call: &HttpCall, response: &mut Response) -> bool {
-        if self.shared.strikes(|faults| &mut faults.resets_after_read) {
+    async fn serve(&self, api: CompletionApi, call: &HttpCall, response: &mut Response) -> bool {
+        if self.shared.triggers(|faults| &mut faults.resets_after_read) {
             return false;
         }
-        let request = match ServeRequest::read(form, call) {
+        let request = match CompletionRequest::parse(api, call) {
             Ok(request) => request,
             Err(message) => {
-                fault(
+                error_answer(
                     response,
                     StatusCode::BAD_REQUEST,
                     "invalid_request",
@@ -117,7 +121,7 @@
             }
         };
         let faults = AnswerFaults::draw(&self.shared);
-        let prepared = prepare(&self.shared, &self.life, call, &request, faults).await;
+        let prepared = prepare(&self.shared, &self.process, call, &request, faults).await;
         let generation = match prepared {
             Ok(generation) => generation,
             Err(NotServed::Crashed) => return false,
@@ -126,12 +130,12 @@
                 return true;
             }
         };
-        set_header(response, REQUEST_ID, &generation.shape.id);
+        set_header(response, REQUEST_ID_HEADER, &generation.envelope.id);
         if request.stream && !faults.reset_after_run {
             stream_events(response, generation.events());
             return true;
         }
-        let Ok(body) = generation.whole().await else {
+        let Ok(body) = generation.complete().await else {
             return false;
         };
         response.status_code(StatusCode::OK);
@@ -140,11 +144,11 @@
         !faults.reset_after_run
     }
 
-    fn refuse(&self, request: &ServeRequest, message: &str, response: &mut Response) {
+    fn refuse(&self, request: &CompletionRequest, message: &str, response: &mut Response) {
         self.shared.record().refused += 1;
-        set_header(response, REQUEST_ID, &request.id);
-        set_header(response, NOT_RUN, "true");
-        fault(
+        set_header(response, REQUEST_ID_HEADER, &request.id);
+        set_header(response, NOT_RUN_HEADER, "true");
+        error_answer(
             response,
             StatusCode::SERVICE_UNAVAILABLE,
             "not_run",
@@ -153,23 +157,23 @@
     }
 
     fn order(&self, call: &HttpCall, response: &mut Response) -> bool {
-        if self.shared.strikes(|faults| &mut faults.lost_orders) {
+        if self.shared.triggers(|faults| &mut faults.lost_orders) {
             return false;
         }
         let order = match serde_json::from_slice::<EngineOrder>(&call.body) {
             Ok(order) => order,
             Err(error) => {
                 let message = format!("{error}; see the endpoint protocol");
-                fault(response, StatusCode::BAD_REQUEST, "invalid_order", &message);
+                error_answer(response, StatusCode::BAD_REQUEST, "invalid_order", &message);
                 return true;
             }
         };
-        match self.life.accept(order) {
+        match self.process.accept(order) {
             OrderOutcome::Accepted => answer_json(response, StatusCode::ACCEPTED, &json!({})),
             OrderOutcome::OldFencingNumber => {
                 self.shared.record().fencing_refusals += 1;
                 let message = "the fencing number is old; a newer plan holder gave orders";
-                fault(
+                error_answer(
                     response,
                     StatusCode::CONFLICT,
                     "old_fencing_number",
@@ -179,7 +183,7 @@
             OrderOutcome::NoMemory => {
                 self.shared.record().memory_refusals += 1;
                 let message = "the memory is too small; unload a model first";
-                fault(
+                error_answer(
                     response,
                     StatusCode::INSUFFICIENT_STORAGE,
                     "no_memory",
@@ -187,20 +191,25 @@
                 );
             }
         }
-        !self.shared.strikes(|faults| &mut faults.lost_order_answers)
+        !self
+            .shared
+            .triggers(|faults| &mut faults.lost_order_answers)
     }
 
     async fn cache_events(&self, request: &Request, response: &mut Response) {
         let from = query_number(request, "from").unwrap_or_default();
         let wait = TimeSpan::from_millis(query_number(request, "wait-ms").unwrap_or_default());
-        let deadline = Instant::now() + wait.min(EVENT_WAIT_LIMIT).duration();
+        let deadline = Instant::now() + wait.min(CACHE_EVENT_WAIT_LIMIT).duration();
         loop {
-            let changed = self.life.cache_changed.notified();
+            let changed = self.process.cache_changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let (list, due) = {
-                let state = self.life.lock();
-                (state.cache_log.from(from), state.cache_log.next_due(from))
+                let state = self.process.lock();
+                (
+                    state.cache_log.visible_from(from),
+                    state.cache_log.next_due(from),
+                )
             };
             if !list.events.is_empty() || Instant::now() >= deadline {
                 return answer_json(response, StatusCode::OK, &list);
@@ -223,7 +232,7 @@
     }));
 }
 
-fn fault(response: &mut Response, status: StatusCode, code: &str, message: &str) {
+fn error_answer(response: &mut Response, status: StatusCode, code: &str, message: &str) {
     let error = json!({"code": code, "message": message, "type": code, "param": null});
     answer_json(response, status, &json!({ "error": error }));
 }
--- a/crates/clementinepond_standin/src/engine/mod.rs
+++ b/crates/clementinepond_standin/src/engine/mod.rs
@@ -6,20 +6,20 @@
 //! test computes any answer with [`expected_tokens`] and a resumed answer
 //! goes on exactly where the broken one ended.
 
-mod answer_shape;
+mod answer_envelope;
 mod batch_queue;
 mod cache_event;
+mod completion_request;
 mod endpoint_report;
 mod engine_faults;
-mod engine_life;
 mod engine_memory;
 mod engine_options;
 mod engine_order;
+mod engine_process;
 mod engine_server;
 mod generation;
 mod handler;
 mod prefix_cache;
-mod serve_request;
 mod serving;
 mod token_text;
 
--- a/crates/clementinepond_standin/src/fault/fault_rate.rs
+++ b/crates/clementinepond_standin/src/fault/fault_rate.rs
@@ -1,11 +1,11 @@
-//! A fault that strikes the next calls or a share of all calls.
+//! A fault that triggers the next calls or a share of all calls.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
 const PER_MILLE: u32 = 1_000;
 
-/// Whether a fault strikes a call: the next `next` calls for certain, and
+/// Whether a fault triggers a call: the next `next` calls for certain, and
 /// `per_mille` of the others by chance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -41,7 +41,7 @@
         Self::per_mille(PER_MILLE)
     }
 
-    pub(crate) fn strikes(&mut self, random: &mut impl Rng) -> bool {
+    pub(crate) fn triggers(&mut self, random: &mut impl Rng) -> bool {
         if self.next > 0 {
             self.next -= 1;
             return true;
--- a/crates/clementinepond_standin/src/fault/mod.rs
+++ b/crates/clementinepond_standin/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! How often a fault strikes.
+//! How often a fault triggers.
 
 mod fault_rate;
 
--- a/crates/clementinepond_standin/src/load/answer_check.rs
+++ b/crates/clementinepond_standin/src/load/answer_check.rs
@@ -1,6 +1,6 @@
 //! Whether an answer is the one that its request must get.
 
-use super::answer_reader::ReadAnswer;
+use super::answer_reader::ReceivedAnswer;
 use super::load_options::{LoadForm, LoadOptions, LoadWorkload};
 use super::planned_request::PlannedRequest;
 use crate::engine::{answer_length, expected_text};
@@ -9,7 +9,7 @@
 /// How a request ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerVerdict {
-    Right,
+    Correct,
     Refused,
     Wrong,
     Incomplete,
@@ -30,29 +30,30 @@
     options: &LoadOptions,
     request: &PlannedRequest,
     workload: &LoadWorkload,
-    answer: &ReadAnswer,
+    answer: &ReceivedAnswer,
 ) -> AnswerVerdict {
     if answer.malformed || answer.ids.len() > 1 {
         return AnswerVerdict::Wrong;
     }
-    let streamed_whole = !workload.stream || answer.closed;
-    let Some(count) = answer.completion_tokens.filter(|_| streamed_whole) else {
+    let stream_complete = !workload.stream || answer.done;
+    let Some(count) = answer.completion_tokens.filter(|_| stream_complete) else {
         return AnswerVerdict::Incomplete;
     };
     let prompt = engine_prompt(&workload.form, &request.content);
-    let length_right = options.answer_length.is_none_or(|length| {
+    let length_matches = options.answer_length.is_none_or(|length| {
         let drawn = answer_length(length.seed, &prompt, length.shortest, length.longest);
         count == drawn.min(request.max_tokens)
     });
-    let cut = answer.finish_reason.as_deref() == Some("length");
-    let cut_right = count <= request.max_tokens && (!cut || count == request.max_tokens);
+    let truncated = answer.finish_reason.as_deref() == Some("length");
+    let limit_respected =
+        count <= request.max_tokens && (!truncated || count == request.max_tokens);
     let model = request.model.and_then(|index| options.models.get(index));
-    let text_right = model.is_some_and(|target| {
+    let text_matches = model.is_some_and(|target| {
         let mut versions = target.versions.iter();
         versions.any(|version| expected_text(&target.model, version, &prompt, count) == answer.text)
     });
-    if length_right && cut_right && text_right {
-        AnswerVerdict::Right
+    if length_matches && limit_respected && text_matches {
+        AnswerVerdict::Correct
     } else {
         AnswerVerdict::Wrong
     }
@@ -61,7 +62,7 @@
 /// Checks the answer of a plain service.
 pub(super) fn check_echo(request: &PlannedRequest, body: &[u8]) -> AnswerVerdict {
     match serde_json::from_slice::<ServiceEcho>(body) {
-        Ok(echo) if echo.body == request.content => AnswerVerdict::Right,
+        Ok(echo) if echo.body == request.content => AnswerVerdict::Correct,
         _ => AnswerVerdict::Wrong,
     }
 }
--- a/crates/clementinepond_standin/src/load/answer_reader.rs
+++ b/crates/clementinepond_standin/src/load/answer_reader.rs
@@ -6,17 +6,17 @@
 
 /// What was read of an answer.
 #[derive(Debug, Default)]
-pub(super) struct ReadAnswer {
+pub(super) struct ReceivedAnswer {
     pub(super) text: String,
     pub(super) events: u64,
     pub(super) completion_tokens: Option<u32>,
     pub(super) finish_reason: Option<Box<str>>,
     pub(super) ids: Vec<Box<str>>,
-    pub(super) closed: bool,
+    pub(super) done: bool,
     pub(super) malformed: bool,
-    pub(super) first_at: Option<Instant>,
-    pub(super) between: Vec<TimeSpan>,
-    last_at: Option<Instant>,
+    pub(super) first_event_at: Option<Instant>,
+    pub(super) token_gaps: Vec<TimeSpan>,
+    last_event_at: Option<Instant>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -50,9 +50,9 @@
     completion_tokens: u32,
 }
 
-impl ReadAnswer {
+impl ReceivedAnswer {
     /// Takes in one JSON body or event.
-    pub(super) fn take_json(&mut self, json: &[u8]) {
+    pub(super) fn add_json(&mut self, json: &[u8]) {
         let Ok(body) = serde_json::from_slice::<AnswerBody>(json) else {
             self.malformed = true;
             return;
@@ -71,23 +71,23 @@
         }
     }
 
-    fn take_event(&mut self, event: &[u8]) {
+    fn add_event(&mut self, event: &[u8]) {
         let Some(data) = event.strip_prefix(b"data:") else {
             // Comments keep a connection alive and carry nothing.
             return;
         };
         let data = data.trim_ascii();
         if data == b"[DONE]" {
-            self.closed = true;
+            self.done = true;
             return;
         }
         let now = Instant::now();
-        self.first_at.get_or_insert(now);
-        if let Some(last) = self.last_at.replace(now) {
-            self.between.push((now - last).into());
+        self.first_event_at.get_or_insert(now);
+        if let Some(last) = self.last_event_at.replace(now) {
+            self.token_gaps.push((now - last).into());
         }
         self.events += 1;
-        self.take_json(data);
+        self.add_json(data);
     }
 }
 
@@ -99,12 +99,12 @@
 
 impl EventSplitter {
     /// Takes in bytes and passes on the events that are now whole.
-    pub(super) fn feed(&mut self, bytes: &[u8], answer: &mut ReadAnswer) {
+    pub(super) fn feed(&mut self, bytes: &[u8], answer: &mut ReceivedAnswer) {
         let kept = bytes.iter().filter(|byte| **byte != b'\r');
         self.buffer.extend(kept);
         while let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
-            answer.take_event(event.trim_ascii());
+            answer.add_event(event.trim_ascii());
         }
     }
 }
--- a/crates/clementinepond_standin/src/load/load_run.rs
+++ b/crates/clementinepond_standin/src/load/load_run.rs
@@ -1,12 +1,12 @@
 //! Sending the plan.
 
 use super::answer_check::{AnswerVerdict, check_echo, check_tokens};
-use super::answer_reader::{EventSplitter, ReadAnswer};
+use super::answer_reader::{EventSplitter, ReceivedAnswer};
 use super::load_options::{LoadCaller, LoadForm, LoadOptions, LoadWorkload};
 use super::load_report::LoadReport;
-use super::load_tally::{LoadTally, RequestEnd};
+use super::load_tally::{LoadTally, RequestResult};
 use super::planned_request::{PlannedRequest, plan_requests};
-use crate::network::hold;
+use crate::network::lock;
 use bytes::Bytes;
 use clementinepond_types::TimeSpan;
 use http_body_util::{BodyExt, Full};
@@ -41,7 +41,7 @@
 /// Cancelling the token stops sending; answers on the way are still awaited.
 pub async fn run_load(options: LoadOptions, cancel: CancellationToken) -> LoadReport {
     let plan = plan_requests(&options);
-    let places = Arc::new(Semaphore::new(options.in_flight_limit));
+    let permits = Arc::new(Semaphore::new(options.in_flight_limit));
     let shared = Arc::new(LoadShared {
         client: new_client(),
         tally: Mutex::new(LoadTally::new(plan.len() as u64)),
@@ -51,25 +51,25 @@
     let start = Instant::now();
     let mut running = JoinSet::new();
     for request in plan {
-        let leaves_at = start + request.leaves_after.duration();
-        let sleep = tokio::time::sleep_until(leaves_at);
+        let send_at = start + request.send_offset.duration();
+        let sleep = tokio::time::sleep_until(send_at);
         if cancel.run_until_cancelled(sleep).await.is_none() {
             break;
         }
         while running.try_join_next().is_some() {}
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-            hold(&shared.tally).leave_out();
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+            lock(&shared.tally).record_skipped();
             continue;
         };
         let shared = Arc::clone(&shared);
         running.spawn(async move {
-            let end = run_request(&shared, &request, leaves_at).await;
-            hold(&shared.tally).add(end);
-            drop(place);
+            let result = run_request(&shared, &request, send_at).await;
+            lock(&shared.tally).record(result);
+            drop(permit);
         });
     }
     while running.join_next().await.is_some() {}
-    let tally = std::mem::replace(&mut *hold(&shared.tally), LoadTally::new(0));
+    let tally = std::mem::replace(&mut *lock(&shared.tally), LoadTally::new(0));
     let report = tally.finish();
     info!(
         "event=load_ended sent={} answered={} wrong={} broken={}",
@@ -89,36 +89,36 @@
 async fn run_request(
     shared: &LoadShared,
     request: &PlannedRequest,
-    leaves_at: Instant,
-) -> RequestEnd {
+    send_at: Instant,
+) -> RequestResult {
     let options = &shared.options;
     let caller = options.callers.get(request.caller);
-    let mut end = RequestEnd {
+    let mut result = RequestResult {
         caller: caller.map_or_else(|| "".into(), |caller| caller.name.clone()),
-        send_lag: leaves_at.elapsed().into(),
+        send_lag: send_at.elapsed().into(),
         status: None,
         outcome: None,
         verdict: AnswerVerdict::Broken,
         tokens: 0,
         first_token: None,
         between_tokens: Vec::new(),
-        whole: TimeSpan::ZERO,
+        total_time: TimeSpan::ZERO,
     };
-    let exchange = exchange(shared, request, caller, leaves_at, &mut end);
+    let exchange = exchange(shared, request, caller, send_at, &mut result);
     let ended = tokio::time::timeout(options.timeout.duration(), exchange).await;
     if ended.is_err() {
-        end.verdict = AnswerVerdict::TimedOut;
+        result.verdict = AnswerVerdict::TimedOut;
     }
-    end.whole = leaves_at.elapsed().into();
-    end
+    result.total_time = send_at.elapsed().into();
+    result
 }
 
 async fn exchange(
     shared: &LoadShared,
     request: &PlannedRequest,
     caller: Option<&LoadCaller>,
-    leaves_at: Instant,
-    end: &mut RequestEnd,
+    send_at: Instant,
+    result: &mut RequestResult,
 ) {
     let options = &shared.options;
     let Some(workload) = options.workloads.get(request.workload) else {
@@ -130,31 +130,31 @@
     let Ok(response) = shared.client.request(http_request).await else {
         return;
     };
-    end.status = Some(response.status().as_u16());
-    end.outcome = header_text(&response, OUTCOME_HEADER);
+    result.status = Some(response.status().as_u16());
+    result.outcome = header_text(&response, OUTCOME_HEADER);
     if !response.status().is_success() {
-        end.verdict = AnswerVerdict::Refused;
+        result.verdict = AnswerVerdict::Refused;
         return;
     }
-    end.verdict = AnswerVerdict::Incomplete;
+    result.verdict = AnswerVerdict::Incomplete;
     if matches!(workload.form, LoadForm::Service { .. }) {
         if let Ok(body) = response.into_body().collect().await {
-            end.verdict = check_echo(request, &body.to_bytes());
+            result.verdict = check_echo(request, &body.to_bytes());
         }
         return;
     }
-    let mut answer = ReadAnswer::default();
-    let whole = read_answer(response, &mut answer).await;
-    end.first_token = answer.first_at.map(|at| (at - leaves_at).into());
-    end.between_tokens = std::mem::take(&mut answer.between);
-    if whole {
-        end.verdict = check_tokens(options, request, workload, &answer);
-        end.tokens = answer.completion_tokens.unwrap_or_default().into();
+    let mut answer = ReceivedAnswer::default();
+    let complete = read_answer(response, &mut answer).await;
+    result.first_token = answer.first_event_at.map(|at| (at - send_at).into());
+    result.between_tokens = std::mem::take(&mut answer.token_gaps);
+    if complete {
+        result.verdict = check_tokens(options, request, workload, &answer);
+        result.tokens = answer.completion_tokens.unwrap_or_default().into();
     }
 }
 
 /// Reads an answer to its end; false when it broke off.
-async fn read_answer(response: Response<Incoming>, answer: &mut ReadAnswer) -> bool {
+async fn read_answer(response: Response<Incoming>, answer: &mut ReceivedAnswer) -> bool {
     let kind = header_text(&response, header::CONTENT_TYPE.as_str());
     let streamed = kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
     let mut body = response.into_body();
@@ -162,7 +162,7 @@
         let Ok(collected) = body.collect().await else {
             return false;
         };
-        answer.take_json(&collected.to_bytes());
+        answer.add_json(&collected.to_bytes());
         return true;
     }
     let mut splitter = EventSplitter::default();
@@ -183,7 +183,7 @@
     workload: &LoadWorkload,
     caller: Option<&LoadCaller>,
 ) -> Option<Request<Full<Bytes>>> {
-    let target = target_of(options, request)?;
+    let target = target_address(options, request)?;
     let path = match &workload.form {
         LoadForm::Completion => "/v1/completions",
         LoadForm::Chat => "/v1/chat/completions",
@@ -203,7 +203,7 @@
     builder.body(Full::from(body)).ok()
 }
 
-fn target_of(options: &LoadOptions, request: &PlannedRequest) -> Option<SocketAddr> {
+fn target_address(options: &LoadOptions, request: &PlannedRequest) -> Option<SocketAddr> {
     let count = options.targets.len().max(1) as u64;
     let index = usize::try_from(request.number % count).ok()?;
     options.targets.get(index).copied()
--- a/crates/clementinepond_standin/src/load/load_tally.rs
+++ b/crates/clementinepond_standin/src/load/load_tally.rs
@@ -7,7 +7,7 @@
 
 /// How one request ended.
 #[derive(Debug)]
-pub(super) struct RequestEnd {
+pub(super) struct RequestResult {
     pub(super) caller: Box<str>,
     pub(super) send_lag: TimeSpan,
     pub(super) status: Option<u16>,
@@ -16,7 +16,7 @@
     pub(super) tokens: u64,
     pub(super) first_token: Option<TimeSpan>,
     pub(super) between_tokens: Vec<TimeSpan>,
-    pub(super) whole: TimeSpan,
+    pub(super) total_time: TimeSpan,
 }
 
 /// Counts and latencies so far.
@@ -25,7 +25,7 @@
     report: LoadReport,
     first_token: LatencyHistogram,
     between_tokens: LatencyHistogram,
-    whole: LatencyHistogram,
+    total_time: LatencyHistogram,
     send_lag: LatencyHistogram,
 }
 
@@ -38,32 +38,32 @@
             },
             first_token: LatencyHistogram::new(),
             between_tokens: LatencyHistogram::new(),
-            whole: LatencyHistogram::new(),
+            total_time: LatencyHistogram::new(),
             send_lag: LatencyHistogram::new(),
         }
     }
 
-    pub(super) fn leave_out(&mut self) {
+    pub(super) fn record_skipped(&mut self) {
         self.report.left_out += 1;
     }
 
-    pub(super) fn add(&mut self, end: RequestEnd) {
+    pub(super) fn record(&mut self, result: RequestResult) {
         let report = &mut self.report;
         report.sent += 1;
-        let caller = report.by_caller.entry(end.caller).or_default();
+        let caller = report.by_caller.entry(result.caller).or_default();
         caller.sent += 1;
-        if let Some(status) = end.status {
+        if let Some(status) = result.status {
             *report.by_status.entry(status).or_default() += 1;
         }
-        if let Some(outcome) = end.outcome {
+        if let Some(outcome) = result.outcome {
             *report.by_outcome.entry(outcome).or_default() += 1;
         }
-        match end.verdict {
-            AnswerVerdict::Right => {
+        match result.verdict {
+            AnswerVerdict::Correct => {
                 report.answered += 1;
                 caller.answered += 1;
-                caller.tokens += end.tokens;
-                self.whole.record(end.whole);
+                caller.tokens += result.tokens;
+                self.total_time.record(result.total_time);
             }
             AnswerVerdict::Refused => caller.refused += 1,
             AnswerVerdict::Wrong => report.wrong += 1,
@@ -71,11 +71,11 @@
             AnswerVerdict::Broken => report.broken += 1,
             AnswerVerdict::TimedOut => report.timed_out += 1,
         }
-        self.send_lag.record(end.send_lag);
-        if let Some(latency) = end.first_token {
+        self.send_lag.record(result.send_lag);
+        if let Some(latency) = result.first_token {
             self.first_token.record(latency);
         }
-        for latency in end.between_tokens {
+        for latency in result.between_tokens {
             self.between_tokens.record(latency);
         }
     }
@@ -84,7 +84,7 @@
         LoadReport {
             first_token: self.first_token.summary(),
             between_tokens: self.between_tokens.summary(),
-            whole: self.whole.summary(),
+            whole: self.total_time.summary(),
             send_lag: self.send_lag.summary(),
             ..self.report
         }
--- a/crates/clementinepond_standin/src/load/planned_request.rs
+++ b/crates/clementinepond_standin/src/load/planned_request.rs
@@ -13,7 +13,7 @@
     /// Number in the plan.
     pub number: u64,
     /// Time from the start at which it leaves.
-    pub leaves_after: TimeSpan,
+    pub send_offset: TimeSpan,
     /// Index of its caller.
     pub caller: usize,
     /// Index of its model; none for a plain service or without models.
@@ -33,11 +33,11 @@
 pub fn plan_requests(options: &LoadOptions) -> Vec<PlannedRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
     let mut requests = Vec::new();
-    let mut leaves_after = next_gap(options, &mut random);
-    while leaves_after < options.duration {
+    let mut send_offset = next_gap(options, &mut random);
+    while send_offset < options.duration {
         let number = requests.len() as u64;
-        requests.push(draw_request(options, number, leaves_after, &mut random));
-        leaves_after += next_gap(options, &mut random);
+        requests.push(draw_request(options, number, send_offset, &mut random));
+        send_offset += next_gap(options, &mut random);
     }
     requests
 }
@@ -52,7 +52,7 @@
 fn draw_request(
     options: &LoadOptions,
     number: u64,
-    leaves_after: TimeSpan,
+    send_offset: TimeSpan,
     random: &mut impl Rng,
 ) -> PlannedRequest {
     let caller = draw_index(options.callers.iter().map(|caller| caller.weight), random);
@@ -66,7 +66,7 @@
     let key_bytes = random.random();
     PlannedRequest {
         number,
-        leaves_after,
+        send_offset,
         caller,
         model: (serves_model && !options.models.is_empty()).then_some(model),
         workload: index,
--- a/crates/clementinepond_standin/src/network/call.rs
+++ b/crates/clementinepond_standin/src/network/call.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the path segments for matching.
-    pub(crate) fn parts(&self) -> Vec<&str> {
+    pub(crate) fn path_segments(&self) -> Vec<&str> {
         self.segments.iter().map(String::as_str).collect()
     }
 }
--- a/crates/clementinepond_standin/src/network/listen.rs
+++ b/crates/clementinepond_standin/src/network/listen.rs
@@ -12,15 +12,15 @@
 use tokio_util::sync::CancellationToken;
 
 /// Pause between two attempts to listen again on the same address.
-const REBIND_PAUSE: TimeSpan = TimeSpan::from_millis(20);
+const REBIND_INTERVAL: TimeSpan = TimeSpan::from_millis(20);
 
-/// Orders that may wait: a crash and the order that ends it.
-pub(crate) const PENDING_RESTARTS: usize = 8;
+/// Orders that may wait: a crash and the request that ends it.
+pub(crate) const RESTART_QUEUE_CAPACITY: usize = 8;
 
 /// Order to drop all connections and stop listening for a while.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RestartOrder {
-    /// Time until it listens again; none to wait for the next order.
+pub(crate) struct RestartRequest {
+    /// Time until it listens again; none to wait for the next request.
     pub(crate) down_for: Option<TimeSpan>,
 }
 
@@ -36,7 +36,7 @@
     /// `routes` is called once at the start and once after each restart.
     pub(crate) async fn start(
         listen: SocketAddr,
-        mut restarts: mpsc::Receiver<RestartOrder>,
+        mut restarts: mpsc::Receiver<RestartRequest>,
         cancel: CancellationToken,
         mut routes: impl FnMut() -> Router + Send + 'static,
     ) -> Result<Self, StandinError> {
@@ -50,14 +50,14 @@
         tokio::spawn(async move {
             loop {
                 let serving = Server::new(acceptor).try_serve(routes());
-                let Some(order) = serve_until(serving, &mut restarts, &cancel).await else {
+                let Some(request) = serve_until(serving, &mut restarts, &cancel).await else {
                     return;
                 };
-                let down = stay_down(order, &mut restarts);
+                let down = wait_while_down(request, &mut restarts);
                 if cancel.run_until_cancelled(down).await.is_none() {
                     return;
                 }
-                acceptor = listen_again(address).await;
+                acceptor = rebind(address).await;
             }
         });
         Ok(Self { address })
@@ -73,12 +73,12 @@
 /// connections.
 async fn serve_until(
     serving: impl Future<Output = std::io::Result<()>>,
-    restarts: &mut mpsc::Receiver<RestartOrder>,
+    restarts: &mut mpsc::Receiver<RestartRequest>,
     cancel: &CancellationToken,
-) -> Option<RestartOrder> {
+) -> Option<RestartRequest> {
     tokio::select! {
         () = cancel.cancelled() => None,
-        order = restarts.recv() => order,
+        request = restarts.recv() => request,
         result = serving => {
             if let Err(error) = result {
                 warn!("event=standin_server_ended error={error:?}");
@@ -88,14 +88,14 @@
     }
 }
 
-async fn stay_down(order: RestartOrder, restarts: &mut mpsc::Receiver<RestartOrder>) {
-    match order.down_for {
-        Some(span) => tokio::time::sleep(span.duration()).await,
+async fn wait_while_down(request: RestartRequest, restarts: &mut mpsc::Receiver<RestartRequest>) {
+    match request.down_for {
+        Some(down_for) => tokio::time::sleep(down_for.duration()).await,
         None => drop(restarts.recv().await),
     }
 }
 
-async fn listen_again(address: SocketAddr) -> NoDelayAcceptor {
+async fn rebind(address: SocketAddr) -> NoDelayAcceptor {
     loop {
         let bound = TcpListener::bind(address).await;
         match bound.and_then(NoDelayAcceptor::new) {
@@ -105,6 +105,6 @@
             }
             Err(error) => warn!("event=standin_bind_failed address={address} error={error:?}"),
         }
-        tokio::time::sleep(REBIND_PAUSE.duration()).await;
+        tokio::time::sleep(REBIND_INTERVAL.duration()).await;
     }
 }
--- a/crates/clementinepond_standin/src/network/mod.rs
+++ b/crates/clementinepond_standin/src/network/mod.rs
@@ -2,15 +2,15 @@
 
 mod acceptor;
 mod call;
-mod hold;
 mod incarnation;
 mod listen;
+mod lock;
 mod standin_error;
 
 pub(crate) use call::{
     HttpCall, abort_connection, answer_json, query_number, read_call, set_header,
 };
-pub(crate) use hold::hold;
 pub(crate) use incarnation::first_incarnation;
-pub(crate) use listen::{ListenTask, PENDING_RESTARTS, RestartOrder};
+pub(crate) use listen::{ListenTask, RESTART_QUEUE_CAPACITY, RestartRequest};
+pub(crate) use lock::lock;
 pub use standin_error::StandinError;
--- a/crates/clementinepond_standin/src/platform/handler.rs
+++ b/crates/clementinepond_standin/src/platform/handler.rs
@@ -20,7 +20,7 @@
 
 /// What becomes of a call.
 #[derive(Debug)]
-enum CallFate {
+enum CallOutcome {
     /// It is answered.
     Answered(JsonAnswer),
     /// The connection breaks.
@@ -55,15 +55,15 @@
         let Some(call) = read_call(request).await else {
             return abort_connection(request);
         };
-        if call.parts() == ["calls"] {
+        if call.path_segments() == ["calls"] {
             let counts = self.shared.lock().counts;
             return answer_json(response, StatusCode::OK, &counts);
         }
-        let fate = self.decide(request, &call).await;
+        let outcome = self.process(request, &call).await;
         let delay = self.shared.lock().faults.delay;
         tokio::time::sleep(delay.duration()).await;
-        match fate {
-            CallFate::Answered((status, value)) => {
+        match outcome {
+            CallOutcome::Answered((status, value)) => {
                 info!(
                     "event=platform_call method={} path={} status={}",
                     call.method,
@@ -72,14 +72,14 @@
                 );
                 answer_json(response, status, &value);
             }
-            CallFate::Broken => {
+            CallOutcome::Broken => {
                 info!(
                     "event=platform_answer_lost method={} path={}",
                     call.method, call.path
                 );
                 abort_connection(request);
             }
-            CallFate::Silent => std::future::pending().await,
+            CallOutcome::Silent => std::future::pending().await,
         }
     }
 }
@@ -89,22 +89,22 @@
         Self { shared }
     }
 
-    async fn decide(&self, request: &Request, call: &HttpCall) -> CallFate {
+    async fn process(&self, request: &Request, call: &HttpCall) -> CallOutcome {
         let kind = kind_of(call);
-        if let Some(fate) = self.admit(kind) {
-            return fate;
+        if let Some(outcome) = self.admit(kind) {
+            return outcome;
         }
         if kind == CallKind::Watch {
             return self.watch(request, call).await;
         }
         let mut state = self.shared.lock();
         let PlatformState { faults, random, .. } = &mut *state;
-        if kind == CallKind::Write && faults.lost_writes.strikes(random) {
-            return CallFate::Broken;
+        if kind == CallKind::Write && faults.lost_writes.triggers(random) {
+            return CallOutcome::Broken;
         }
         let lost = match kind {
-            CallKind::Write => faults.lost_write_answers.strikes(random),
-            _ => faults.lost_read_answers.strikes(random),
+            CallKind::Write => faults.lost_write_answers.triggers(random),
+            _ => faults.lost_read_answers.triggers(random),
         };
         let silent = faults.outage == OutageKind::SilentWithEffect;
         let answer = self.execute(&mut state, request, call);
@@ -113,14 +113,14 @@
             self.shared.changed.notify_waiters();
         }
         match (silent, lost) {
-            (true, _) => CallFate::Silent,
-            (false, true) => CallFate::Broken,
-            (false, false) => CallFate::Answered(answer),
+            (true, _) => CallOutcome::Silent,
+            (false, true) => CallOutcome::Broken,
+            (false, false) => CallOutcome::Answered(answer),
         }
     }
 
     /// Counts a call and refuses it when the platform is away or overrun.
-    fn admit(&self, kind: CallKind) -> Option<CallFate> {
+    fn admit(&self, kind: CallKind) -> Option<CallOutcome> {
         let mut state = self.shared.lock();
         match kind {
             CallKind::Read => state.counts.reads += 1,
@@ -129,27 +129,31 @@
         }
         match state.faults.outage {
             OutageKind::None => {}
-            OutageKind::Refusing => return Some(outage()),
-            OutageKind::Silent => return Some(CallFate::Silent),
+            OutageKind::Refusing => return Some(outage_answer()),
+            OutageKind::Silent => return Some(CallOutcome::Silent),
             OutageKind::SilentWithEffect if kind == CallKind::Write => {}
-            OutageKind::SilentWithEffect => return Some(CallFate::Silent),
+            OutageKind::SilentWithEffect => return Some(CallOutcome::Silent),
         }
         let allowed = match kind {
-            CallKind::Write => state.writes.take(),
-            CallKind::Read | CallKind::Watch => state.reads.take(),
+            CallKind::Write => state.writes.try_acquire(),
+            CallKind::Read | CallKind::Watch => state.reads.try_acquire(),
         };
         (!allowed).then(|| {
             let message = "the call rate is exceeded; call less often";
-            CallFate::Answered(fault(StatusCode::TOO_MANY_REQUESTS, "call_rate", message))
+            CallOutcome::Answered(error_answer(
+                StatusCode::TOO_MANY_REQUESTS,
+                "call_rate",
+                message,
+            ))
         })
     }
 
     fn execute(&self, state: &mut PlatformState, request: &Request, call: &HttpCall) -> JsonAnswer {
         let if_version = query_number(request, "if-version");
-        match (&call.method, call.parts().as_slice()) {
+        match (&call.method, call.path_segments().as_slice()) {
             (&Method::GET, ["objects", kind, name]) => match state.store.get(kind, name) {
                 Some(object) => (StatusCode::OK, json!(object)),
-                None => missing(),
+                None => not_found(),
             },
             (&Method::GET, ["objects", kind]) => {
                 let objects = state.store.list(kind);
@@ -171,16 +175,16 @@
             }
             (&Method::GET, ["vms"]) => {
                 let frozen = state.faults.vm_list_frozen;
-                (StatusCode::OK, json!({"vms": state.vms.shown(frozen)}))
+                (StatusCode::OK, json!({"vms": state.vms.visible(frozen)}))
             }
-            _ => missing(),
+            _ => not_found(),
         }
     }
 
     fn read_value(&self, call: &HttpCall) -> Result<Value, JsonAnswer> {
         if call.body.len() > self.shared.value_limit {
             let message = "the value is too large; keep it under the limit";
-            return Err(fault(
+            return Err(error_answer(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "value_too_large",
                 message,
@@ -188,14 +192,14 @@
         }
         serde_json::from_slice(&call.body).map_err(|_| {
             let message = "the body is not JSON; send one JSON value";
-            fault(StatusCode::BAD_REQUEST, "not_json", message)
+            error_answer(StatusCode::BAD_REQUEST, "not_json", message)
         })
     }
 
-    async fn watch(&self, request: &Request, call: &HttpCall) -> CallFate {
-        let parts = call.parts();
-        let Some(kind) = parts.get(1) else {
-            return CallFate::Answered(missing());
+    async fn watch(&self, request: &Request, call: &HttpCall) -> CallOutcome {
+        let segments = call.path_segments();
+        let Some(kind) = segments.get(1) else {
+            return CallOutcome::Answered(not_found());
         };
         let from = query_number(request, "from").unwrap_or_default();
         let wait = TimeSpan::from_millis(query_number(request, "wait-ms").unwrap_or_default());
@@ -204,8 +208,8 @@
             let notified = self.shared.changed.notified();
             tokio::pin!(notified);
             notified.as_mut().enable();
-            if let Some(fate) = self.look(kind, from, Instant::now() >= deadline) {
-                return fate;
+            if let Some(outcome) = self.poll_watch(kind, from, Instant::now() >= deadline) {
+                return outcome;
             }
             tokio::select! {
                 () = notified => {}
@@ -215,30 +219,30 @@
     }
 
     /// Returns the end of a watch, or nothing while it has to wait.
-    fn look(&self, kind: &str, from: u64, expired: bool) -> Option<CallFate> {
+    fn poll_watch(&self, kind: &str, from: u64, expired: bool) -> Option<CallOutcome> {
         let state = self.shared.lock();
         match state.faults.outage {
             OutageKind::None => {}
-            OutageKind::Refusing => return Some(outage()),
-            OutageKind::Silent | OutageKind::SilentWithEffect => return Some(CallFate::Silent),
+            OutageKind::Refusing => return Some(outage_answer()),
+            OutageKind::Silent | OutageKind::SilentWithEffect => return Some(CallOutcome::Silent),
         }
         match state.store.changes(kind, from) {
             ChangeList::TooOld => {
                 let message = "the version is not kept; list the kind again";
-                let answer = fault(StatusCode::GONE, "version_too_old", message);
-                Some(CallFate::Answered(answer))
+                let answer = error_answer(StatusCode::GONE, "version_too_old", message);
+                Some(CallOutcome::Answered(answer))
             }
             ChangeList::Changes(_, changes) if changes.is_empty() && !expired => None,
             ChangeList::Changes(version, changes) => {
                 let body = json!({"version": version, "changes": changes});
-                Some(CallFate::Answered((StatusCode::OK, body)))
+                Some(CallOutcome::Answered((StatusCode::OK, body)))
             }
         }
     }
 }
 
 fn kind_of(call: &HttpCall) -> CallKind {
-    match (&call.method, call.parts().first()) {
+    match (&call.method, call.path_segments().first()) {
         (&Method::PUT | &Method::DELETE, _) => CallKind::Write,
         (_, Some(&"watch")) => CallKind::Watch,
         _ => CallKind::Read,
@@ -247,25 +251,29 @@
 
 fn change_answer(outcome: ChangeOutcome, deleted: bool) -> JsonAnswer {
     match outcome {
-        ChangeOutcome::Done(object) if deleted => {
+        ChangeOutcome::Applied(object) if deleted => {
             (StatusCode::OK, json!({"version": object.version}))
         }
-        ChangeOutcome::Done(object) => (StatusCode::OK, json!(object)),
+        ChangeOutcome::Applied(object) => (StatusCode::OK, json!(object)),
         ChangeOutcome::Conflict(object) => (StatusCode::CONFLICT, json!(object)),
-        ChangeOutcome::Missing => missing(),
+        ChangeOutcome::Missing => not_found(),
     }
 }
 
-fn outage() -> CallFate {
+fn outage_answer() -> CallOutcome {
     let message = "the platform is away; try again later";
-    CallFate::Answered(fault(StatusCode::SERVICE_UNAVAILABLE, "outage", message))
+    CallOutcome::Answered(error_answer(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "outage",
+        message,
+    ))
 }
 
-fn missing() -> JsonAnswer {
+fn not_found() -> JsonAnswer {
     let message = "there is no such object; check the kind and the name";
-    fault(StatusCode::NOT_FOUND, "missing", message)
+    error_answer(StatusCode::NOT_FOUND, "missing", message)
 }
 
-fn fault(status: StatusCode, code: &str, message: &str) -> JsonAnswer {
+fn error_answer(status: StatusCode, code: &str, message: &str) -> JsonAnswer {
     (status, json!({"error": {"code": code, "message": message}}))
 }
--- a/crates/clementinepond_standin/src/platform/mod.rs
+++ b/crates/clementinepond_standin/src/platform/mod.rs
@@ -5,7 +5,7 @@
 //! while it runs: outages, delays, answers lost after the update took effect,
 //! and a list of VMs that lags.
 
-mod call_rate;
+mod call_rate_limiter;
 mod handler;
 mod object_store;
 mod platform_faults;
--- a/crates/clementinepond_standin/src/platform/object_store.rs
+++ b/crates/clementinepond_standin/src/platform/object_store.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub(super) enum ChangeOutcome {
     /// The change took effect.
-    Done(StoredObject),
+    Applied(StoredObject),
     /// The object had another version.
     Conflict(Option<StoredObject>),
     /// There was no object to delete.
@@ -75,8 +75,8 @@
         let object = self.next_object(kind, name, value);
         let objects = self.objects.entry(kind.into()).or_default();
         objects.insert(name.into(), object.clone());
-        self.keep_change(object.clone());
-        ChangeOutcome::Done(object)
+        self.record_change(object.clone());
+        ChangeOutcome::Applied(object)
     }
 
     pub(super) fn delete(
@@ -95,8 +95,8 @@
         if let Some(objects) = self.objects.get_mut(kind) {
             objects.remove(name);
         }
-        self.keep_change(object.clone());
-        ChangeOutcome::Done(object)
+        self.record_change(object.clone());
+        ChangeOutcome::Applied(object)
     }
 
     /// Returns the changes of a kind after a version.
@@ -108,8 +108,8 @@
             .changes
             .partition_point(|change| change.version <= from);
         let later = self.changes.range(first..);
-        let wanted = later.filter(|change| change.kind.as_ref() == kind);
-        ChangeList::Changes(self.version, wanted.cloned().collect())
+        let matching = later.filter(|change| change.kind.as_ref() == kind);
+        ChangeList::Changes(self.version, matching.cloned().collect())
     }
 
     fn conflict(&self, kind: &str, name: &str, if_version: Option<u64>) -> Option<ChangeOutcome> {
@@ -129,7 +129,7 @@
         }
     }
 
-    fn keep_change(&mut self, change: StoredObject) {
+    fn record_change(&mut self, change: StoredObject) {
         self.changes.push_back(change);
         while self.changes.len() > self.kept_changes {
             if let Some(dropped) = self.changes.pop_front() {
--- a/crates/clementinepond_standin/src/platform/platform_server.rs
+++ b/crates/clementinepond_standin/src/platform/platform_server.rs
@@ -1,13 +1,13 @@
 //! The running platform and the handle to it.
 
-use super::call_rate::CallRate;
+use super::call_rate_limiter::CallRateLimiter;
 use super::handler::PlatformHandler;
 use super::object_store::{ChangeOutcome, ObjectStore};
 use super::platform_faults::PlatformFaults;
 use super::platform_options::PlatformOptions;
 use super::stored_object::StoredObject;
 use super::vm_list::{VmEntry, VmList};
-use crate::network::{ListenTask, PENDING_RESTARTS, RestartOrder, StandinError, hold};
+use crate::network::{ListenTask, RESTART_QUEUE_CAPACITY, RestartRequest, StandinError, lock};
 use log::info;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -37,8 +37,8 @@
     pub(super) vms: VmList,
     pub(super) counts: CallCounts,
     pub(super) faults: PlatformFaults,
-    pub(super) reads: CallRate,
-    pub(super) writes: CallRate,
+    pub(super) reads: CallRateLimiter,
+    pub(super) writes: CallRateLimiter,
     pub(super) random: ChaCha8Rng,
 }
 
@@ -52,7 +52,7 @@
 
 impl PlatformShared {
     pub(super) fn lock(&self) -> MutexGuard<'_, PlatformState> {
-        hold(&self.state)
+        lock(&self.state)
     }
 }
 
@@ -62,7 +62,7 @@
     task: ListenTask,
     shared: Arc<PlatformShared>,
     // Keeps the listening task from taking a closed channel for a stop.
-    _restarts: mpsc::Sender<RestartOrder>,
+    _restarts: mpsc::Sender<RestartRequest>,
 }
 
 impl PlatformServer {
@@ -80,8 +80,8 @@
             vms: VmList::new(options.vms, options.vm_list_lag),
             counts: CallCounts::default(),
             faults: options.faults,
-            reads: CallRate::new(options.reads_per_second),
-            writes: CallRate::new(options.writes_per_second),
+            reads: CallRateLimiter::new(options.reads_per_second),
+            writes: CallRateLimiter::new(options.writes_per_second),
             random: ChaCha8Rng::seed_from_u64(options.seed),
         };
         let shared = Arc::new(PlatformShared {
@@ -89,10 +89,10 @@
             changed: Notify::new(),
             value_limit: options.value_limit,
         });
-        let (restarts, orders) = mpsc::channel(PENDING_RESTARTS);
+        let (restarts, restart_requests) = mpsc::channel(RESTART_QUEUE_CAPACITY);
         let handler = PlatformHandler::new(Arc::clone(&shared));
         let routes = move || Router::with_path("{**path}").goal(handler.clone());
-        let task = ListenTask::start(options.listen, orders, cancel, routes).await?;
+        let task = ListenTask::start(options.listen, restart_requests, cancel, routes).await?;
         info!("event=platform_started address={}", task.address());
         Ok(Self {
             task,
@@ -147,7 +147,7 @@
         let outcome = self.shared.lock().store.put(kind, name, None, value);
         self.shared.changed.notify_waiters();
         match outcome {
-            ChangeOutcome::Done(object) => object.version,
+            ChangeOutcome::Applied(object) => object.version,
             ChangeOutcome::Conflict(_) | ChangeOutcome::Missing => 0,
         }
     }
--- a/crates/clementinepond_standin/src/platform/vm_list.rs
+++ b/crates/clementinepond_standin/src/platform/vm_list.rs
@@ -31,36 +31,36 @@
 #[derive(Debug)]
 pub(super) struct VmList {
     lag: TimeSpan,
-    shown: Vec<VmEntry>,
-    coming: VecDeque<(Instant, Vec<VmEntry>)>,
+    visible: Vec<VmEntry>,
+    pending: VecDeque<(Instant, Vec<VmEntry>)>,
 }
 
 impl VmList {
     pub(super) fn new(vms: Vec<VmEntry>, lag: TimeSpan) -> Self {
         Self {
             lag,
-            shown: vms,
-            coming: VecDeque::new(),
+            visible: vms,
+            pending: VecDeque::new(),
         }
     }
 
     pub(super) fn replace(&mut self, vms: Vec<VmEntry>) {
         let due = Instant::now() + self.lag.duration();
-        self.coming.push_back((due, vms));
+        self.pending.push_back((due, vms));
     }
 
     /// Returns the newest list without the lag.
     pub(super) fn latest(&self) -> &[VmEntry] {
-        self.coming.back().map_or(&self.shown, |(_, vms)| vms)
+        self.pending.back().map_or(&self.visible, |(_, vms)| vms)
     }
 
-    pub(super) fn shown(&mut self, frozen: bool) -> &[VmEntry] {
+    pub(super) fn visible(&mut self, frozen: bool) -> &[VmEntry] {
         let now = Instant::now();
-        while !frozen && self.coming.front().is_some_and(|(due, _)| *due <= now) {
-            if let Some((_, vms)) = self.coming.pop_front() {
-                self.shown = vms;
+        while !frozen && self.pending.front().is_some_and(|(due, _)| *due <= now) {
+            if let Some((_, vms)) = self.pending.pop_front() {
+                self.visible = vms;
             }
         }
-        &self.shown
+        &self.visible
     }
 }
--- a/crates/clementinepond_standin/src/record/call_record.rs
+++ b/crates/clementinepond_standin/src/record/call_record.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(crate) fn note_call(&mut self, call: &HttpCall) {
+    pub(crate) fn record_call(&mut self, call: &HttpCall) {
         self.arrived += 1;
         if self.limit == 0 {
             return;
@@ -83,7 +83,7 @@
         });
     }
 
-    pub(crate) fn note_run(&mut self, call: &HttpCall) {
+    pub(crate) fn record_run(&mut self, call: &HttpCall) {
         self.runs += 1;
         if self.limit == 0 {
             return;
--- a/crates/clementinepond_standin/src/service/handler.rs
+++ b/crates/clementinepond_standin/src/service/handler.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::Ordering;
 
 /// Header by which an answer names its request.
-const REQUEST_ID: &str = "x-request-id";
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// Answer of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,27 +62,31 @@
         _flow: &mut FlowCtrl,
     ) {
         let is_report = request.method() == Method::GET && request.uri().path() == "/report";
-        if !is_report && self.shared.strikes(|faults| &mut faults.resets_before_read) {
+        if !is_report
+            && self
+                .shared
+                .triggers(|faults| &mut faults.resets_before_read)
+        {
             return abort_connection(request);
         }
         let Some(call) = read_call(request).await else {
             return abort_connection(request);
         };
-        self.shared.record().note_call(&call);
-        let kept = if is_report {
+        self.shared.record().record_call(&call);
+        let answered = if is_report {
             answer_json(response, StatusCode::OK, &self.report());
-            !self.shared.strikes(|faults| &mut faults.lost_reports)
+            !self.shared.triggers(|faults| &mut faults.lost_reports)
         } else {
             self.run(&call, response).await
         };
         info!(
-            "event=service_call endpoint={} method={} path={} status={} answered={kept}",
+            "event=service_call endpoint={} method={} path={} status={} answered={answered}",
             self.shared.options.endpoint,
             call.method,
             call.path,
             response.status_code.map_or(0, |status| status.as_u16())
         );
-        if !kept {
+        if !answered {
             abort_connection(request);
         }
     }
@@ -96,32 +100,32 @@
     /// Runs a request; false when the connection breaks instead.
     async fn run(&self, call: &HttpCall, response: &mut Response) -> bool {
         let shared = &self.shared;
-        if shared.strikes(|faults| &mut faults.resets_after_read) {
+        if shared.triggers(|faults| &mut faults.resets_after_read) {
             return false;
         }
-        let id = call.header(REQUEST_ID).unwrap_or_default();
-        if shared.strikes(|faults| &mut faults.refusals) {
+        let id = call.header(REQUEST_ID_HEADER).unwrap_or_default();
+        if shared.triggers(|faults| &mut faults.refusals) {
             shared.record().refused += 1;
-            set_header(response, REQUEST_ID, id);
+            set_header(response, REQUEST_ID_HEADER, id);
             set_header(response, "x-not-run", "true");
             let message = "the service refuses; try another endpoint";
             let error = json!({"error": {"code": "not_run", "message": message}});
             answer_json(response, StatusCode::SERVICE_UNAVAILABLE, &error);
             return true;
         }
-        let waiting = QueuedCall::new(shared);
-        let Ok(_place) = shared.places.acquire().await else {
+        let queued_call = QueuedCall::new(shared);
+        let Ok(_permit) = shared.permits.acquire().await else {
             return false;
         };
-        drop(waiting);
-        let run = self.note_run(call);
+        drop(queued_call);
+        let run = self.record_run(call);
         let body = String::from_utf8_lossy(&call.body);
-        if shared.crash_on(&body) {
+        if shared.crash_if_marked(&body) {
             return false;
         }
         tokio::time::sleep(shared.options.work_time.duration()).await;
         tokio::time::sleep(shared.late_by().duration()).await;
-        let crossed = shared.strikes(|faults| &mut faults.crossed_answers);
+        let crossed = shared.triggers(|faults| &mut faults.crossed_answers);
         let prefix = if crossed { "other-" } else { "" };
         let echo = ServiceEcho {
             id: format!("{prefix}{id}").into(),
@@ -130,14 +134,14 @@
             body: format!("{prefix}{body}").into(),
             run,
         };
-        set_header(response, REQUEST_ID, &echo.id);
+        set_header(response, REQUEST_ID_HEADER, &echo.id);
         answer_json(response, StatusCode::OK, &echo);
-        !shared.strikes(|faults| &mut faults.resets_after_run)
+        !shared.triggers(|faults| &mut faults.resets_after_run)
     }
 
-    fn note_run(&self, call: &HttpCall) -> u64 {
+    fn record_run(&self, call: &HttpCall) -> u64 {
         let mut record = self.shared.record();
-        record.note_run(call);
+        record.record_run(call);
         if self.shared.draining.load(Ordering::Acquire) {
             record.runs_while_draining += 1;
         }
@@ -146,7 +150,7 @@
 
     fn report(&self) -> ServiceReport {
         let shared = &self.shared;
-        let free = shared.places.available_permits();
+        let free = shared.permits.available_permits();
         ServiceReport {
             endpoint: shared.options.endpoint.clone(),
             incarnation: shared.incarnation.load(Ordering::Acquire),
--- a/crates/clementinepond_standin/src/service/service_server.rs
+++ b/crates/clementinepond_standin/src/service/service_server.rs
@@ -5,7 +5,7 @@
 use super::service_options::ServiceOptions;
 use crate::fault::FaultRate;
 use crate::network::{
-    ListenTask, PENDING_RESTARTS, RestartOrder, StandinError, first_incarnation, hold,
+    ListenTask, RESTART_QUEUE_CAPACITY, RestartRequest, StandinError, first_incarnation, lock,
 };
 use crate::record::CallRecord;
 use clementinepond_types::TimeSpan;
@@ -26,44 +26,44 @@
     random: ChaCha8Rng,
 }
 
-/// State shared by the handle and all lives.
+/// State shared by the handle and all shared_state.
 #[derive(Debug)]
 pub(super) struct ServiceShared {
     pub(super) options: ServiceOptions,
-    pub(super) places: Semaphore,
+    pub(super) permits: Semaphore,
     pub(super) queued: AtomicU64,
     pub(super) report_number: AtomicU64,
     pub(super) incarnation: AtomicU64,
     pub(super) draining: AtomicBool,
     down: AtomicBool,
-    restarts: mpsc::Sender<RestartOrder>,
+    restarts: mpsc::Sender<RestartRequest>,
     faults: Mutex<FaultState>,
     record: Mutex<CallRecord>,
 }
 
 impl ServiceShared {
     pub(super) fn record(&self) -> MutexGuard<'_, CallRecord> {
-        hold(&self.record)
+        lock(&self.record)
     }
 
-    /// Returns whether a fault strikes this time.
-    pub(super) fn strikes(&self, rate: impl FnOnce(&mut ServiceFaults) -> &mut FaultRate) -> bool {
-        let mut state = hold(&self.faults);
+    /// Returns whether a fault triggers this time.
+    pub(super) fn triggers(&self, rate: impl FnOnce(&mut ServiceFaults) -> &mut FaultRate) -> bool {
+        let mut state = lock(&self.faults);
         let FaultState { faults, random } = &mut *state;
-        rate(faults).strikes(random)
+        rate(faults).triggers(random)
     }
 
     /// Returns the time by which this answer is late.
     pub(super) fn late_by(&self) -> TimeSpan {
-        let late = self.strikes(|faults| &mut faults.late_answers);
-        let late_by = hold(&self.faults).faults.late_by;
+        let late = self.triggers(|faults| &mut faults.late_answers);
+        let late_by = lock(&self.faults).faults.late_by;
         if late { late_by } else { TimeSpan::ZERO }
     }
 
     /// Crashes when the body holds a marker; returns whether it did.
-    pub(super) fn crash_on(&self, body: &str) -> bool {
+    pub(super) fn crash_if_marked(&self, body: &str) -> bool {
         let down_for = {
-            let state = hold(&self.faults);
+            let state = lock(&self.faults);
             let mut markers = state.faults.crash_markers.iter();
             if !markers.any(|marker| body.contains(marker.as_ref())) {
                 return false;
@@ -79,12 +79,12 @@
             return;
         }
         info!("event=service_crashed endpoint={}", self.options.endpoint);
-        self.order_restart(down_for);
+        self.request_restart(down_for);
     }
 
-    fn order_restart(&self, down_for: Option<TimeSpan>) {
+    fn request_restart(&self, down_for: Option<TimeSpan>) {
         // The channel is full only when more crashes than it holds are due.
-        let _ = self.restarts.try_send(RestartOrder { down_for });
+        let _ = self.restarts.try_send(RestartRequest { down_for });
     }
 }
 
@@ -105,11 +105,11 @@
         options: ServiceOptions,
         cancel: CancellationToken,
     ) -> Result<Self, StandinError> {
-        let (restarts, orders) = mpsc::channel(PENDING_RESTARTS);
+        let (restarts, restart_requests) = mpsc::channel(RESTART_QUEUE_CAPACITY);
         let listen = options.listen;
         let incarnation = options.incarnation.unwrap_or_else(first_incarnation);
         let shared = Arc::new(ServiceShared {
-            places: Semaphore::new(options.concurrency),
+            permits: Semaphore::new(options.concurrency),
             queued: AtomicU64::new(0),
             report_number: AtomicU64::new(0),
             // Each life adds one when it starts.
@@ -124,14 +124,14 @@
             record: Mutex::new(CallRecord::new(options.recorded_calls)),
             options,
         });
-        let lives = Arc::clone(&shared);
+        let shared_state = Arc::clone(&shared);
         let routes = move || {
-            lives.incarnation.fetch_add(1, Ordering::AcqRel);
-            lives.report_number.store(0, Ordering::Release);
-            lives.down.store(false, Ordering::Release);
-            Router::with_path("{**path}").goal(ServiceHandler::new(Arc::clone(&lives)))
+            shared_state.incarnation.fetch_add(1, Ordering::AcqRel);
+            shared_state.report_number.store(0, Ordering::Release);
+            shared_state.down.store(false, Ordering::Release);
+            Router::with_path("{**path}").goal(ServiceHandler::new(Arc::clone(&shared_state)))
         };
-        let task = ListenTask::start(listen, orders, cancel, routes).await?;
+        let task = ListenTask::start(listen, restart_requests, cancel, routes).await?;
         info!(
             "event=service_started endpoint={} address={}",
             shared.options.endpoint,
@@ -148,7 +148,7 @@
 
     /// Changes the faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut ServiceFaults)) {
-        change(&mut hold(&self.shared.faults).faults);
+        change(&mut lock(&self.shared.faults).faults);
     }
 
     /// Sets whether reports say that the endpoint leaves.
@@ -157,14 +157,14 @@
     }
 
     /// Breaks all connections and stops to listen; listens again with a new
-    /// incarnation after `down_for`, or when told by [`Self::come_back`].
+    /// incarnation after `down_for`, or when told by [`Self::restart`].
     pub fn crash(&self, down_for: Option<TimeSpan>) {
         self.shared.crash(down_for);
     }
 
     /// Listens again after a crash without an end.
-    pub fn come_back(&self) {
-        self.shared.order_restart(Some(TimeSpan::ZERO));
+    pub fn restart(&self) {
+        self.shared.request_restart(Some(TimeSpan::ZERO));
     }
 
     /// Returns what it saw.
--- a/crates/clementinepond_standin/tests/standin/engine_faults.rs
+++ b/crates/clementinepond_standin/tests/standin/engine_faults.rs
@@ -40,7 +40,7 @@
     );
     assert!(bystander.await.unwrap().is_none());
     assert!(client.send("GET", "/report", &[], "").await.is_none());
-    server.come_back();
+    server.restart();
     let report = loop {
         if let Some(answer) = client.send("GET", "/report", &[], "").await {
             break answer.json();
