--- a/crates/clementinepond_standin/src/engine/answer_envelope.rs
+++ b/crates/clementinepond_standin/src/engine/answer_envelope.rs
@@ -1,14 +1,15 @@
-//! JSON forms of answers and chunks.
+//! JSON encoding of answers and stream chunks in the format of the OpenAI API.
 
 use super::completion_request::CompletionApi;
 use bytes::Bytes;
 use serde::Serialize;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Last event of a whole stream.
+/// Last event of a complete stream.
 pub(super) const STREAM_END: Bytes = Bytes::from_static(b"data: [DONE]\n\n");
 
-/// Reason for which an answer ends.
+/// Reason why an answer ended: `Stop` at its own length, `Length` at the token
+/// limit of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum FinishReason {
@@ -34,14 +35,14 @@
     }
 }
 
-/// End of an answer.
+/// Fields that only the last chunk or a complete answer contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AnswerEnd {
     pub(super) reason: FinishReason,
     pub(super) usage: TokenUsage,
 }
 
-/// What stays the same in all chunks of one answer.
+/// Fields that are identical in all chunks of one answer.
 #[derive(Debug, Clone)]
 pub(super) struct AnswerEnvelope {
     pub(super) api: CompletionApi,
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Returns one event of a stream.
+    /// Returns one server-sent event; `first` is whether it is the first of its
+    /// stream, and `end` is set on the last one.
     pub(super) fn chunk(&self, first: bool, text: &str, end: Option<AnswerEnd>) -> Bytes {
         let finish_reason = end.map(|end| end.reason);
         let usage = end.map(|end| end.usage);
@@ -133,7 +135,7 @@
         [b"data: ".as_slice(), &json, b"\n\n"].concat().into()
     }
 
-    /// Returns a whole answer.
+    /// Returns the JSON body of a complete answer.
     pub(super) fn complete(&self, text: &str, end: AnswerEnd) -> Vec<u8> {
         let finish_reason = Some(end.reason);
         match self.api {
--- a/crates/clementinepond_standin/src/engine/batch_queue.rs
+++ b/crates/clementinepond_standin/src/engine/batch_queue.rs
@@ -1,4 +1,4 @@
-//! Places in the batch, given out by priority.
+//! Slots of the continuous batch, assigned by priority.
 
 use crate::network::lock;
 use std::cmp::Reverse;
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::oneshot;
 
-/// Waiting position: larger priority first, then order of arrival.
+/// Sort key of a waiting request: higher priority first, then order of arrival.
 type QueuePosition = (Reverse<u8>, u64);
 
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
     waiting: BTreeMap<QueuePosition, oneshot::Sender<BatchSlot>>,
 }
 
-/// Places in the batch and the queue for them.
+/// Slots of the batch and the queue of requests that wait for one.
 #[derive(Debug)]
 pub(super) struct BatchQueue {
     size: usize,
@@ -24,7 +24,7 @@
     state: Mutex<BatchState>,
 }
 
-/// Place in the batch; given on when dropped.
+/// Slot of the batch; passed to the next waiting request when dropped.
 #[derive(Debug)]
 pub(super) struct BatchSlot {
     queue: Arc<BatchQueue>,
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Waits for a place; `None` when too many are waiting.
+    /// Waits for a slot; `None` if the queue is full.
     pub(super) async fn enter(self: &Arc<Self>, priority: u8) -> Option<BatchSlot> {
         let (position, slot_receiver) = {
             let mut state = self.lock();
@@ -63,7 +63,7 @@
         slot_receiver.await.ok()
     }
 
-    /// Returns the number of running and of waiting requests.
+    /// Returns the number of running requests and of waiting requests.
     pub(super) fn load(&self) -> (usize, usize) {
         let state = self.lock();
         (state.running, state.waiting.len())
@@ -79,7 +79,7 @@
         lock(&self.state)
     }
 
-    /// Gives a place to the first that waits, or frees it.
+    /// Passes a slot to the first waiting request, or frees it if none waits.
     fn release_slot(self: &Arc<Self>) {
         let next = {
             let mut state = self.lock();
@@ -90,7 +90,8 @@
             next
         };
         if let Some((_, slot_sender)) = next {
-            // A slot that nobody takes is dropped here, which passes it on.
+            // If the request was cancelled, dropping the returned slot passes it
+            // to the next waiting request.
             drop(slot_sender.send(self.slot()));
         }
     }
@@ -102,7 +103,7 @@
     }
 }
 
-/// Entry in the queue; removed when its request goes away.
+/// Queue entry of a waiting request; removed when the request is cancelled.
 struct QueuedEntry<'a> {
     queue: &'a BatchQueue,
     position: QueuePosition,
--- a/crates/clementinepond_standin/src/engine/cache_event.rs
+++ b/crates/clementinepond_standin/src/engine/cache_event.rs
@@ -1,4 +1,4 @@
-//! Events of the prefix cache, shown late and with gaps.
+//! Log of prefix cache events, which readers see after a lag and with gaps.
 
 use crate::fault::FaultRate;
 use clementinepond_types::TimeSpan;
@@ -7,40 +7,41 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Events kept for readers.
+/// Number of latest events kept for readers; older ones are dropped.
 const MAX_RETAINED_EVENTS: usize = 4_096;
 
-/// What happened to a prefix.
+/// Change of the prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheOperation {
-    /// The prefix is in the cache.
+    /// The prefix was added to the cache.
     Stored,
-    /// The prefix is no longer in the cache.
+    /// The prefix was evicted from the cache.
     Evicted,
 }
 
-/// One event.
+/// Addition of a prefix to the cache, or its eviction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps are lost events.
+    /// Number of the event, from 1; a gap means that events were lost.
     pub sequence: u64,
-    /// What happened.
+    /// Whether the prefix was stored or evicted.
     pub op: CacheOperation,
-    /// Hash of the prefix, in hexadecimal.
+    /// Hash of the prefix as 16 hexadecimal digits; see
+    /// [`prefix_hash`](super::prefix_hash).
     pub prefix: Box<str>,
 }
 
-/// Answer to a reader of cache events.
+/// Answer to a request for cache events.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventList {
-    /// Number to ask from next.
+    /// Sequence number from which to request the next events.
     pub next: u64,
     /// Events, oldest first.
     pub events: Vec<CacheEvent>,
 }
 
-/// Events that are shown after a lag.
+/// Event log that makes each event visible after a lag.
 #[derive(Debug)]
 pub(super) struct CacheEventLog {
     lag: TimeSpan,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Returns what is shown from a number on.
+    /// Returns the visible events with a sequence number of at least `from`.
     pub(super) fn visible_from(&self, from: u64) -> CacheEventList {
         let now = Instant::now();
         let due = self.events.iter().take_while(|(due, _)| *due <= now);
@@ -93,7 +94,8 @@
         CacheEventList { next, events }
     }
 
-    /// Returns when the next event from a number on is shown.
+    /// Returns the time at which the first event with a sequence number of at
+    /// least `from` becomes visible.
     pub(super) fn next_due(&self, from: u64) -> Option<Instant> {
         let next = self.events.iter().find(|(_, event)| event.sequence >= from);
         next.map(|(due, _)| *due)
--- a/crates/clementinepond_standin/src/engine/completion_request.rs
+++ b/crates/clementinepond_standin/src/engine/completion_request.rs
@@ -1,13 +1,13 @@
-//! A completion request, read from a call.
+//! Parsing of completion requests.
 
 use crate::network::HttpCall;
 use serde::Deserialize;
 use uuid::Uuid;
 
-/// Generated tokens when the request does not limit them.
+/// Token limit of a request that sets none: only the answer length applies.
 const DEFAULT_TOKEN_LIMIT: u32 = u32::MAX;
 
-/// Form of the request and its answer.
+/// API that determines the format of a request and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CompletionApi {
     /// `/v1/completions`.
@@ -16,7 +16,7 @@
     Chat,
 }
 
-/// A completion request.
+/// Parsed completion request.
 #[derive(Debug, Clone)]
 pub(super) struct CompletionRequest {
     pub(super) api: CompletionApi,
@@ -74,10 +74,14 @@
 }
 
 impl CompletionRequest {
-    /// Reads a request; the error says what is wrong with the body.
+    /// Parses a request; the error describes what is invalid in the body.
     pub(super) fn parse(api: CompletionApi, call: &HttpCall) -> Result<Self, String> {
         let body = serde_json::from_slice::<RequestBody>(&call.body);
-        let body = body.map_err(|error| format!("{error}; send a body in the usual form"))?;
+        let body = body.map_err(|error| {
+            format!(
+                "invalid body: {error}; send a completion request in the format of the OpenAI API"
+            )
+        })?;
         let prompt = match api {
             CompletionApi::Completion => body.prompt.map_or_else(String::new, join_prompt),
             CompletionApi::Chat => chat_prompt(&body.messages),
@@ -105,7 +109,7 @@
     }
 }
 
-/// Joins the messages of a chat: role, line feed, content, line feed.
+/// Joins the messages of a chat, each as role, line feed, content, line feed.
 fn chat_prompt(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
     for message in messages {
--- a/crates/clementinepond_standin/src/engine/endpoint_report.rs
+++ b/crates/clementinepond_standin/src/engine/endpoint_report.rs
@@ -1,56 +1,56 @@
-//! What an endpoint reports.
+//! Report of an engine on its load and on the contents of its memory.
 
 use super::engine_memory::ModelState;
 use clementinepond_types::{AdapterId, EndpointId, FencingNumber, MemorySize, ModelId};
 use serde::{Deserialize, Serialize};
 
-/// One model in a report.
+/// Version of a model in memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedModel {
-    /// Name of the model.
+    /// Model that is loaded.
     pub model: ModelId,
-    /// Version of the model.
+    /// Loaded version of the model.
     pub version: Box<str>,
-    /// State of the model.
+    /// Whether the version is loading, ready or draining.
     pub state: ModelState,
-    /// Memory it takes.
+    /// Memory that the version occupies, in MiB.
     pub memory_mib: MemorySize,
 }
 
-/// One adapter in a report.
+/// Adapter in memory that is ready to serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedAdapter {
-    /// Name of the adapter.
+    /// Adapter that is loaded.
     pub adapter: AdapterId,
-    /// Model that it extends.
+    /// Model that the adapter extends.
     pub model: ModelId,
 }
 
-/// Report of an engine.
+/// Report of an engine; it may be as old as the configured report lag.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointReport {
-    /// Name of the endpoint.
+    /// Endpoint that reports.
     pub endpoint: EndpointId,
-    /// Changes when the endpoint restarts.
+    /// Number of the endpoint process, which grows with each restart.
     pub incarnation: u64,
-    /// Grows with each report.
+    /// Number of the report within the incarnation, from 1.
     pub report_number: u64,
-    /// Number of the last order applied.
+    /// Number of the order applied last; 0 if none was applied.
     pub last_order: u64,
-    /// Accelerator memory.
+    /// Total accelerator memory, in MiB.
     pub memory_mib: MemorySize,
-    /// Memory in use.
+    /// Memory that models and adapters occupy, in MiB.
     pub used_mib: MemorySize,
-    /// Requests that run.
+    /// Number of requests that occupy a slot of the batch.
     pub running: u64,
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub queued: u64,
-    /// Whether the endpoint leaves.
+    /// Whether the endpoint is being drained.
     pub draining: bool,
-    /// Largest fencing number seen.
+    /// Largest fencing number received in an order.
     pub fencing_number: FencingNumber,
-    /// Models in memory.
+    /// Models in memory, whatever their state.
     pub models: Vec<ReportedModel>,
-    /// Adapters in memory.
+    /// Adapters that are ready.
     pub adapters: Vec<ReportedAdapter>,
 }
--- a/crates/clementinepond_standin/src/engine/engine_faults.rs
+++ b/crates/clementinepond_standin/src/engine/engine_faults.rs
@@ -1,50 +1,58 @@
-//! Faults of an engine.
+//! Faults that an engine injects.
 
 use crate::fault::FaultRate;
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Faults that may be changed while the engine runs.
+/// Faults of an engine, which can be changed while it runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Texts in a prompt that crash the engine once the prompt runs.
+    /// Texts that crash the engine when the prompt of a request that runs
+    /// contains one.
     pub crash_markers: Vec<Box<str>>,
-    /// Time from a crash to the next process; none to stay down.
+    /// Time from such a crash until the engine listens again; none to stay down
+    /// until [`EngineServer::restart`](super::EngineServer::restart).
     pub down_for: Option<TimeSpan>,
-    /// Connections broken before the body is read.
+    /// Calls under `/v1/` whose connection is aborted before the body is read.
     pub resets_before_read: FaultRate,
-    /// Connections broken after the body was read, before anything ran.
+    /// Requests whose connection is aborted after the body was read and before
+    /// they run.
     pub resets_after_read: FaultRate,
-    /// Connections broken after the request ran to its end.
+    /// Requests whose connection is aborted after they ran to completion and
+    /// before any of the answer is sent.
     pub resets_after_run: FaultRate,
-    /// Requests refused with `x-not-run`.
+    /// Requests refused with 503 and `x-not-run` before they run.
     pub refusals: FaultRate,
-    /// Requests whose answer begins late.
+    /// Requests whose first token is delayed by `late_by`.
     pub late_answers: FaultRate,
-    /// Time by which a late answer is late.
+    /// Delay of a late answer.
     pub late_by: TimeSpan,
-    /// Requests that run slowly.
+    /// Requests whose tokens are each delayed by `slow_token_time`.
     pub slow_answers: FaultRate,
-    /// Time by which each token of a slow answer comes later.
+    /// Additional time per token of a slow answer.
     pub slow_token_time: TimeSpan,
-    /// Answers that are those of another request from the start.
+    /// Requests that get the answer of another request.
     pub crossed_answers: FaultRate,
-    /// Streams that go on with chunks of another request.
+    /// Requests whose stream continues with chunks of another answer after
+    /// `turn_after_tokens`; without effect on answers that are not streamed.
     pub crossed_streams: FaultRate,
-    /// Streams that break off.
+    /// Requests whose stream ends early after `turn_after_tokens`; without effect
+    /// on answers that are not streamed.
     pub truncated_streams: FaultRate,
-    /// Tokens after which a truncated or crossed stream turns.
+    /// Number of tokens sent before a stream is truncated or crossed; shorter
+    /// answers are not affected.
     pub turn_after_tokens: u32,
-    /// Whether a truncated stream ends like a whole one, without `[DONE]`.
+    /// Whether a truncated stream closes the body normally, without `[DONE]`,
+    /// instead of aborting the connection.
     pub truncated_cleanly: bool,
-    /// Orders that are lost before they take effect.
+    /// Orders whose connection is aborted before they are accepted.
     pub lost_orders: FaultRate,
-    /// Orders whose answer is lost after they were accepted.
+    /// Orders whose answer, acceptance or refusal, is lost.
     pub lost_order_answers: FaultRate,
-    /// Reports whose answer is lost.
+    /// Report calls whose answer is lost.
     pub lost_reports: FaultRate,
-    /// Cache events that are never shown.
+    /// Cache events that are dropped and leave a gap in the sequence.
     pub lost_cache_events: FaultRate,
 }
 
--- a/crates/clementinepond_standin/src/engine/engine_memory.rs
+++ b/crates/clementinepond_standin/src/engine/engine_memory.rs
@@ -1,4 +1,4 @@
-//! Models and adapters in the accelerator's memory.
+//! Models and adapters in accelerator memory.
 
 use super::endpoint_report::{ReportedAdapter, ReportedModel};
 use super::engine_order::{EngineRole, OrderAction};
@@ -6,19 +6,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// State of a model in memory.
+/// State of a version of a model in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelState {
-    /// The weights are being read.
+    /// The weights are being loaded.
     Loading,
-    /// The model serves.
+    /// The model accepts requests.
     Ready,
-    /// The model finishes what runs and is then unloaded.
+    /// The model accepts no new requests and is unloaded once the running ones
+    /// end.
     Draining,
 }
 
-/// One version of a model.
+/// Model and its version.
 pub(super) type ModelKey = (ModelId, Box<str>);
 
 #[derive(Debug)]
@@ -36,20 +37,22 @@
     ready: bool,
 }
 
-/// Work that goes on after an order was applied.
+/// Asynchronous step that remains after an order was applied.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum FollowUp {
-    /// Nothing is left to do.
+    /// No step remains.
     Nothing,
     /// The model becomes ready after the load time.
     FinishModel(ModelKey),
-    /// The adapter becomes ready after its load time.
+    /// The adapter becomes ready after the adapter load time.
     FinishAdapter(AdapterId),
-    /// The model goes away once nothing runs on it.
+    /// The model is removed once no request runs on it and the unload time has
+    /// passed.
     RemoveModel(ModelKey),
 }
 
-/// Contents of the memory, with what accepted orders will still add.
+/// Contents of the memory, and reservations of accepted orders that are not
+/// yet applied.
 #[derive(Debug)]
 pub(super) struct EngineMemory {
     total: MemorySize,
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Promises the memory that an order needs; `None` when it is not there.
+    /// Reserves the memory that an order needs; `None` if there is not enough.
     pub(super) fn reserve(&mut self, action: &OrderAction) -> Option<MemorySize> {
         let required_memory = self.required_memory(action);
         let after = self.used() + self.reserved + required_memory;
@@ -83,7 +86,7 @@
         Some(required_memory)
     }
 
-    /// Applies an order for which memory was reserved.
+    /// Applies an order and releases the memory reserved for it.
     pub(super) fn apply(&mut self, action: OrderAction, reserved: MemorySize) -> FollowUp {
         self.reserved = self.reserved.saturating_sub(reserved);
         match action {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Makes a loaded model ready.
+    /// Marks a loading model as ready.
     pub(super) fn finish_model(&mut self, key: &ModelKey) {
         self.ready_count += 1;
         if let Some(model) = self.models.get_mut(key)
@@ -120,19 +123,20 @@
         }
     }
 
-    /// Makes a loaded adapter ready.
+    /// Marks an adapter as ready.
     pub(super) fn finish_adapter(&mut self, adapter: &AdapterId) {
         if let Some(adapter) = self.adapters.get_mut(adapter) {
             adapter.ready = true;
         }
     }
 
-    /// Returns whether a model has no running request.
+    /// Returns whether no request runs on a model.
     pub(super) fn is_idle(&self, key: &ModelKey) -> bool {
         self.models.get(key).is_none_or(|model| model.running == 0)
     }
 
-    /// Removes a drained model and its adapters.
+    /// Removes a model if it is draining, and its adapters if no other version of
+    /// the model remains.
     pub(super) fn remove_model(&mut self, key: &ModelKey) {
         let draining = |model: &LoadedModel| model.state == ModelState::Draining;
         if !self.models.get(key).is_some_and(draining) {
@@ -145,21 +149,22 @@
         }
     }
 
-    /// Finds the model that serves a name and counts one more request on it.
+    /// Finds the model that serves a name and increments its running requests.
     pub(super) fn begin_run(&mut self, name: &str) -> Option<ModelKey> {
         let key = self.find_serving_model(name)?;
         self.models.get_mut(&key)?.running += 1;
         Some(key)
     }
 
-    /// Counts one request less on a model.
+    /// Decrements the running requests of a model.
     pub(super) fn end_run(&mut self, key: &ModelKey) {
         if let Some(model) = self.models.get_mut(key) {
             model.running = model.running.saturating_sub(1);
         }
     }
 
-    /// Returns the newest ready model that serves a model or adapter name.
+    /// Returns the version that serves a model or adapter name: of the ready ones,
+    /// the version that became ready last.
     pub(super) fn find_serving_model(&self, name: &str) -> Option<ModelKey> {
         let adapter = self.adapters.iter().find(|(key, _)| key.as_str() == name);
         let model = match adapter {
@@ -212,8 +217,8 @@
                 version,
                 memory_mib,
             } => {
-                let there = self.models.contains_key(&(model.clone(), version.clone()));
-                if there {
+                let is_present = self.models.contains_key(&(model.clone(), version.clone()));
+                if is_present {
                     MemorySize::default()
                 } else {
                     *memory_mib
@@ -224,8 +229,8 @@
                 memory_mib,
                 ..
             } => {
-                let there = self.adapters.contains_key(adapter);
-                if there {
+                let is_present = self.adapters.contains_key(adapter);
+                if is_present {
                     MemorySize::default()
                 } else {
                     *memory_mib
--- a/crates/clementinepond_standin/src/engine/engine_options.rs
+++ b/crates/clementinepond_standin/src/engine/engine_options.rs
@@ -1,31 +1,31 @@
-//! Options of the engine stand-in.
+//! Configuration of the engine stand-in.
 
 use super::engine_faults::EngineFaults;
 use clementinepond_types::{AdapterId, EndpointId, MemorySize, ModelId, TimeSpan};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Model that is ready at the start.
+/// Model that is ready when the engine starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StartModel {
-    /// Name of the model.
+    /// Model to load.
     pub model: ModelId,
-    /// Version of the model.
+    /// Version to load.
     pub version: Box<str>,
-    /// Memory it takes.
+    /// Memory that the version occupies, in MiB.
     pub memory_mib: MemorySize,
 }
 
-/// Adapter that is ready at the start.
+/// Adapter that is ready when the engine starts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StartAdapter {
-    /// Name of the adapter.
+    /// Adapter to load.
     pub adapter: AdapterId,
-    /// Model that it extends.
+    /// Model that the adapter extends.
     pub model: ModelId,
-    /// Memory it takes.
+    /// Memory that the adapter occupies, in MiB.
     pub memory_mib: MemorySize,
 }
 
@@ -33,55 +33,59 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineOptions {
-    /// Address to listen on; port 0 takes any free one.
+    /// Address to listen on; port 0 selects a free one.
     pub listen: SocketAddr,
-    /// Name in reports.
+    /// Endpoint name in reports and log lines.
     pub endpoint: EndpointId,
-    /// Seed of the faults that strike by chance and of answer lengths.
+    /// Seed of random faults and of answer lengths.
     pub seed: u64,
-    /// Incarnation of the first process; taken from the clock when absent.
+    /// Incarnation of the first process; derived from the clock if absent.
     pub incarnation: Option<u64>,
-    /// Accelerator memory.
+    /// Total accelerator memory, in MiB.
     pub memory_mib: MemorySize,
-    /// Requests that run at the same time.
+    /// Number of requests that run concurrently.
     pub batch_size: usize,
-    /// Requests that wait; more are refused.
+    /// Number of requests that may wait for a slot; further ones are refused.
     pub queue_length: usize,
-    /// Time of one token.
+    /// Time to generate one token, before the term that depends on the load.
     pub token_time: TimeSpan,
-    /// Time by which each running request lengthens a token.
+    /// Additional time per token for each running request.
     pub token_time_per_running: TimeSpan,
-    /// Time to read one prompt token that is not in the cache.
+    /// Prefill time per prompt token; a prompt whose prefix is cached counts as
+    /// one token.
     pub prefill_time: TimeSpan,
-    /// Prompt prefixes kept in the cache.
+    /// Number of prompt prefixes that the cache holds.
     pub cached_prefixes: usize,
-    /// Shortest answer that is not cut by `max_tokens`.
+    /// Minimum answer length before `max_tokens` applies, in tokens.
     pub shortest_answer: u32,
-    /// Longest answer.
+    /// Maximum answer length before `max_tokens` applies, in tokens.
     pub longest_answer: u32,
-    /// Time from accepting an order to applying it.
+    /// Time between accepting an order and applying it.
     pub order_time: TimeSpan,
     /// Time to load a model.
     pub load_time: TimeSpan,
     /// Time to load an adapter.
     pub adapter_load_time: TimeSpan,
-    /// Time to unload a model after its last request.
+    /// Time to unload a model once its last request has ended.
     pub unload_time: TimeSpan,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether to refuse orders whose fencing number is lower than one received
+    /// before.
     pub checks_fencing: bool,
-    /// Age up to which a report is given out again; zero for always fresh.
+    /// Age up to which a report is reused; zero builds one for each call.
     pub report_lag: TimeSpan,
-    /// Time after which a cache event is shown.
+    /// Time after which a cache event becomes visible.
     pub cache_event_lag: TimeSpan,
-    /// Models ready at the start.
+    /// Models that are ready when the engine starts.
     pub models: Vec<StartModel>,
-    /// Adapters ready at the start.
+    /// Adapters that are ready when the engine starts.
     pub adapters: Vec<StartAdapter>,
-    /// Whether a restarted engine has its starting models again.
+    /// Whether a restarted engine also has `models` and `adapters` in memory;
+    /// otherwise its memory is empty.
     pub restart_loaded: bool,
-    /// Calls kept for tests.
+    /// Number of latest calls kept in the record; 0 also disables counting runs
+    /// by request and by body.
     pub recorded_calls: usize,
-    /// Faults at the start.
+    /// Faults that are active from the start.
     pub faults: EngineFaults,
 }
 
--- a/crates/clementinepond_standin/src/engine/engine_order.rs
+++ b/crates/clementinepond_standin/src/engine/engine_order.rs
@@ -1,71 +1,72 @@
-//! Orders to an engine.
+//! Orders that change what an engine has in memory.
 
 use clementinepond_types::{AdapterId, FencingNumber, MemorySize, ModelId};
 use serde::{Deserialize, Serialize};
 
-/// Part of serving that an engine takes.
+/// Phases of inference that an engine executes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Reads prompts.
+    /// Processing of prompts only.
     Prefill,
-    /// Generates tokens.
+    /// Generation of tokens only.
     Decode,
-    /// Does both.
+    /// Both phases.
     #[default]
     Both,
 }
 
-/// What an order asks for.
+/// Change that an order requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
-    /// Load a version of a model.
+    /// Loads a version of a model.
     LoadModel {
-        /// Name of the model.
+        /// Model to load.
         model: ModelId,
-        /// Version of the model.
+        /// Version to load.
         version: Box<str>,
-        /// Memory it takes.
+        /// Memory that the version occupies, in MiB.
         memory_mib: MemorySize,
     },
-    /// Unload a version of a model once it runs nothing.
+    /// Unloads a version of a model once no request runs on it.
     UnloadModel {
-        /// Name of the model.
+        /// Model to unload.
         model: ModelId,
-        /// Version of the model.
+        /// Version to unload.
         version: Box<str>,
     },
-    /// Load an adapter.
+    /// Loads an adapter.
     LoadAdapter {
-        /// Name of the adapter.
+        /// Adapter to load.
         adapter: AdapterId,
-        /// Model that it extends.
+        /// Model that the adapter extends.
         model: ModelId,
-        /// Memory it takes.
+        /// Memory that the adapter occupies, in MiB.
         memory_mib: MemorySize,
     },
-    /// Unload an adapter.
+    /// Unloads an adapter.
     UnloadAdapter {
-        /// Name of the adapter.
+        /// Adapter to unload.
         adapter: AdapterId,
     },
-    /// Change the role.
+    /// Sets the role; the stand-in stores it without further effect.
     SetRole {
-        /// The new role.
+        /// Role to set.
         role: EngineRole,
     },
 }
 
-/// One order.
+/// Order of a lease holder to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Number of the order; the same number is applied once.
+    /// Number of the order; an order is applied at most once per incarnation.
     pub order: u64,
-    /// Fencing number of the plan holder.
+    /// Fencing number of the lease holder that sends the order.
     pub fencing_number: FencingNumber,
-    /// Time that was left to send the order, in milliseconds.
+    /// Time that the sender had left to send the order, in milliseconds; the
+    /// stand-in does not enforce it.
     pub time_left_ms: u64,
-    /// What is asked for.
+    /// Requested change.
     pub action: OrderAction,
 }
--- a/crates/clementinepond_standin/src/engine/engine_process.rs
+++ b/crates/clementinepond_standin/src/engine/engine_process.rs
@@ -1,4 +1,4 @@
-//! One process of an engine, from start to crash.
+//! Simulated process of an engine, from its start to its crash.
 
 use super::batch_queue::BatchQueue;
 use super::cache_event::{CacheEventLog, CacheOperation};
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Outcome of an order.
+/// Whether an order was accepted, or the reason why it was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderOutcome {
     Accepted,
@@ -33,7 +33,7 @@
     due: Instant,
 }
 
-/// State behind the lock of a process.
+/// Mutable state of a process.
 #[derive(Debug)]
 pub(super) struct ProcessState {
     pub(super) memory: EngineMemory,
@@ -48,7 +48,7 @@
     cancels: BTreeMap<Box<str>, BTreeMap<u64, CancellationToken>>,
 }
 
-/// One process of an engine.
+/// Simulated process of an engine; a crash ends it, a restart creates another.
 #[derive(Debug)]
 pub(super) struct EngineProcess {
     pub(super) options: Arc<EngineOptions>,
@@ -62,7 +62,8 @@
 }
 
 impl EngineProcess {
-    /// Starts a process, with the starting models in memory or without.
+    /// Starts a process; `loaded` is whether the configured models and adapters
+    /// are in memory from the start.
     pub(super) fn start(
         options: &Arc<EngineOptions>,
         incarnation: u64,
@@ -104,7 +105,7 @@
         lock(&self.state)
     }
 
-    /// Accepts or refuses an order.
+    /// Accepts an order for later execution, or refuses it.
     pub(super) fn accept(&self, order: EngineOrder) -> OrderOutcome {
         let mut state = self.lock();
         if self.options.checks_fencing && order.fencing_number < state.fencing_number {
@@ -124,12 +125,12 @@
             reserved,
             due,
         };
-        // The receiver shared_state as long as this process; a process that ended applies nothing.
+        // Sending fails only once the process has ended, and then no order is applied.
         let _ = self.orders.send(accepted);
         OrderOutcome::Accepted
     }
 
-    /// Returns the report, which may be as old as the lag.
+    /// Returns a report, which may be as old as the configured lag.
     pub(super) fn report(&self, draining: bool) -> EndpointReport {
         let now = Instant::now();
         let mut state = self.lock();
@@ -143,7 +144,8 @@
         report
     }
 
-    /// Reads a prompt into the cache; returns whether it was there.
+    /// Adds a prefix to the cache; returns whether the cache already contained
+    /// it.
     pub(super) fn touch_cache(
         &self,
         prefix: u64,
@@ -165,7 +167,7 @@
         change.hit
     }
 
-    /// Counts a request as running; `None` when no ready model serves it.
+    /// Registers a running request; `None` if no ready model serves `name`.
     pub(super) fn begin_run(self: &Arc<Self>, id: &str, name: &str) -> Option<InFlightGuard> {
         let mut state = self.lock();
         let model = state.memory.begin_run(name)?;
@@ -183,7 +185,7 @@
         })
     }
 
-    /// Cancels the runs of a request.
+    /// Cancels all runs of the request with this identifier.
     pub(super) fn cancel(&self, id: &str) {
         if let Some(cancels) = self.lock().cancels.get(id) {
             cancels.values().for_each(CancellationToken::cancel);
@@ -241,7 +243,7 @@
     }
 }
 
-/// Running request; no longer counted once dropped.
+/// Running request; unregistered when dropped.
 #[derive(Debug)]
 pub(super) struct InFlightGuard {
     process: Arc<EngineProcess>,
@@ -287,7 +289,7 @@
     }
 }
 
-/// Applies the orders of one process in the order of acceptance.
+/// Applies the orders of a process in the order in which they were accepted.
 async fn apply_orders(
     process: Arc<EngineProcess>,
     mut accepted: mpsc::UnboundedReceiver<AcceptedOrder>,
--- a/crates/clementinepond_standin/src/engine/engine_server.rs
+++ b/crates/clementinepond_standin/src/engine/engine_server.rs
@@ -1,4 +1,4 @@
-//! The running engine and the handle to it.
+//! Running engine stand-in and the handle that controls it.
 
 use super::endpoint_report::EndpointReport;
 use super::engine_faults::EngineFaults;
@@ -21,14 +21,14 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Faults and the chance by which they strike.
+/// Configured faults and the random generator that selects affected calls.
 #[derive(Debug)]
 pub(super) struct FaultState {
     pub(super) faults: EngineFaults,
     pub(super) random: ChaCha8Rng,
 }
 
-/// State shared by the handle and all shared_state.
+/// State shared by the handle and all processes of the engine.
 #[derive(Debug)]
 pub(super) struct EngineShared {
     options: Arc<EngineOptions>,
@@ -53,7 +53,7 @@
         lock(&self.faults)
     }
 
-    /// Returns whether a fault triggers this time.
+    /// Returns whether a fault affects this call.
     pub(super) fn triggers(&self, rate: impl FnOnce(&mut EngineFaults) -> &mut FaultRate) -> bool {
         let mut state = self.faults();
         let FaultState { faults, random } = &mut *state;
@@ -64,7 +64,7 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Ends the current process: connections break and nothing listens.
+    /// Ends the current process: aborts all connections and stops listening.
     pub(super) fn crash(&self, down_for: Option<TimeSpan>) {
         let process = self.process();
         if process.ended.is_cancelled() {
@@ -75,7 +75,7 @@
             self.options.endpoint, process.incarnation
         );
         process.ended.cancel();
-        // The channel is full only when more crashes than it holds are due.
+        // The channel is full only if more restarts are pending than it holds.
         let _ = self.restarts.try_send(RestartRequest { down_for });
     }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Running engine stand-in; stops when its token is cancelled.
+/// Handle of a running engine stand-in, which stops when its token is cancelled.
 #[derive(Debug)]
 pub struct EngineServer {
     task: ListenTask,
@@ -103,11 +103,11 @@
 }
 
 impl EngineServer {
-    /// Starts to listen.
+    /// Starts an engine that listens on the configured address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address cannot be listened on.
+    /// Returns an error if binding the address fails.
     pub async fn start(
         options: EngineOptions,
         cancel: CancellationToken,
@@ -143,44 +143,46 @@
         Ok(Self { task, shared })
     }
 
-    /// Returns the address it listens on, the same after each restart.
+    /// Returns the address that the engine listens on; it does not change on
+    /// restart.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.task.address()
     }
 
-    /// Changes the faults.
+    /// Updates the faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         change(&mut self.shared.faults().faults);
     }
 
-    /// Sets whether reports say that the endpoint leaves.
+    /// Sets whether reports show the endpoint as draining.
     pub fn set_draining(&self, draining: bool) {
         self.shared.draining.store(draining, Ordering::Release);
     }
 
-    /// Breaks all connections and stops to listen; listens again with a new
-    /// incarnation after `down_for`, or when told by [`Self::restart`].
+    /// Aborts all connections and stops listening; listens again with a new
+    /// incarnation after `down_for`, or with none, on [`Self::restart`].
     pub fn crash(&self, down_for: Option<TimeSpan>) {
         self.shared.crash(down_for);
     }
 
-    /// Listens again after a crash without an end.
+    /// Listens again after a crash with no `down_for`.
     pub fn restart(&self) {
         let request = RestartRequest {
             down_for: Some(TimeSpan::ZERO),
         };
-        // The channel is full only when more crashes than it holds are due.
+        // The channel is full only if more restarts are pending than it holds.
         let _ = self.shared.restarts.try_send(request);
     }
 
-    /// Returns what it saw.
+    /// Returns a copy of the record of calls and runs.
     #[must_use]
     pub fn record(&self) -> CallRecord {
         self.shared.record().clone()
     }
 
-    /// Returns a fresh report without a call.
+    /// Returns a report without a recorded call; like the report endpoint, it may
+    /// return one as old as the configured lag.
     #[must_use]
     pub fn report(&self) -> EndpointReport {
         let draining = self.shared.is_draining();
--- a/crates/clementinepond_standin/src/engine/generation.rs
+++ b/crates/clementinepond_standin/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! Tokens of one answer, one step of the batch after the other.
+//! Generation of an answer, one token per step of the batch.
 
 use super::answer_envelope::{AnswerEnd, AnswerEnvelope, FinishReason, STREAM_END, TokenUsage};
 use super::batch_queue::BatchSlot;
@@ -10,18 +10,18 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What a fault makes of a stream after some tokens.
+/// Fault that affects a stream after a number of tokens.
 #[derive(Debug, Clone)]
 pub(super) enum StreamFault {
-    /// The connection breaks.
+    /// The connection is aborted.
     Break,
-    /// The stream ends without its last event.
+    /// The body ends normally, without the `[DONE]` event.
     EndCleanly,
-    /// Chunks of another answer follow.
+    /// Chunks of another answer follow, with its envelope and seed.
     Cross(AnswerEnvelope, u64),
 }
 
-/// Tokens of an answer.
+/// Tokens to generate: indices from `next` to before `end`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct TokenPlan {
     pub(super) seed: u64,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Answer that is being generated; holds its place in the batch.
+/// Answer that is being generated; occupies a slot of the batch.
 #[derive(Debug)]
 pub(super) struct Generation {
     pub(super) process: Arc<EngineProcess>,
@@ -52,7 +52,7 @@
     pub(super) stream_fault: Option<(u32, StreamFault)>,
 }
 
-/// Stream over the events of a generation.
+/// Server-sent events of a generation.
 #[derive(Debug)]
 pub(super) struct EventStream {
     generation: Generation,
@@ -68,12 +68,12 @@
     Closed,
 }
 
-/// Sign that a request was cancelled or its engine ended.
+/// The request was cancelled, or its engine process ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RunCancelled;
 
 impl Generation {
-    /// Generates the whole answer.
+    /// Generates the complete answer and returns its JSON body.
     pub(super) async fn complete(mut self) -> Result<Vec<u8>, RunCancelled> {
         let mut text = String::new();
         let mut last_step = Instant::now();
@@ -85,7 +85,7 @@
         Ok(self.envelope.complete(&text, self.plan.answer_end()))
     }
 
-    /// Turns into a stream of server-sent events.
+    /// Converts the generation into a stream of server-sent events.
     pub(super) fn events(self) -> EventStream {
         EventStream {
             generation: self,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Waits for the next step of the batch.
+    /// Waits for the next step of the batch; returns its time.
     async fn step(&self, last: Instant) -> Result<Instant, RunCancelled> {
         let options = &self.process.options;
         let (running, _) = self.process.batch.load();
@@ -119,7 +119,7 @@
 }
 
 impl EventStream {
-    /// Returns the next event; an error breaks the connection.
+    /// Returns the next event; an error aborts the connection.
     pub(super) async fn next(&mut self) -> Option<io::Result<Bytes>> {
         match self.state {
             StreamState::Closed => return None,
@@ -132,7 +132,7 @@
         match self.take_due_fault() {
             Some(StreamFault::EndCleanly) => return None,
             Some(StreamFault::Break) => {
-                // Lets the server send what was written before it breaks.
+                // Lets the server flush the chunks already written before the abort.
                 tokio::task::yield_now().await;
                 return Some(self.abort_stream("truncated"));
             }
@@ -172,7 +172,7 @@
         due.is_some_and(|(after, _)| *after <= self.sent)
             .then(|| self.generation.stream_fault.take())
             .flatten()
-            .map(|(_, fault)| fault)
+            .map(|(_, stream_fault)| stream_fault)
     }
 
     fn abort_stream(&mut self, reason: &'static str) -> io::Result<Bytes> {
--- a/crates/clementinepond_standin/src/engine/handler.rs
+++ b/crates/clementinepond_standin/src/engine/handler.rs
@@ -1,4 +1,4 @@
-//! Calls to an engine.
+//! HTTP interface of the engine stand-in.
 
 use super::completion_request::{CompletionApi, CompletionRequest};
 use super::engine_order::EngineOrder;
@@ -18,14 +18,14 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Header by which an answer names its request.
+/// Header with the identifier of the request, in requests and answers.
 const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header of a refusal before anything ran.
+/// Header that marks a refusal of a request that did not run.
 const NOT_RUN_HEADER: &str = "x-not-run";
-/// Longest wait for cache events.
+/// Upper bound of the `wait-ms` parameter of calls for cache events.
 const CACHE_EVENT_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(600);
 
-/// Handler of every path, for one process of the engine.
+/// Handler of all paths, for one engine process.
 #[derive(Debug)]
 pub(super) struct EngineHandler {
     shared: Arc<EngineShared>,
@@ -72,7 +72,8 @@
         Self { shared, process }
     }
 
-    /// Answers a call; false when the connection breaks instead.
+    /// Handles a call; returns false if the connection is to be aborted instead
+    /// of answering.
     async fn dispatch(&self, request: &Request, call: &HttpCall, response: &mut Response) -> bool {
         match (&call.method, call.path_segments().as_slice()) {
             (&Method::POST, ["v1", "completions"]) => {
@@ -97,7 +98,7 @@
             }
             (&Method::POST, ["orders"]) => self.order(call, response),
             _ => {
-                let message = "there is no such path; see the endpoint protocol";
+                let message = "no such path; see the endpoint protocol";
                 error_answer(response, StatusCode::NOT_FOUND, "not_found", message);
                 true
             }
@@ -163,7 +164,7 @@
         let order = match serde_json::from_slice::<EngineOrder>(&call.body) {
             Ok(order) => order,
             Err(error) => {
-                let message = format!("{error}; see the endpoint protocol");
+                let message = format!("invalid order: {error}; see the endpoint protocol");
                 error_answer(response, StatusCode::BAD_REQUEST, "invalid_order", &message);
                 return true;
             }
@@ -172,7 +173,8 @@
             OrderOutcome::Accepted => answer_json(response, StatusCode::ACCEPTED, &json!({})),
             OrderOutcome::OldFencingNumber => {
                 self.shared.record().fencing_refusals += 1;
-                let message = "the fencing number is old; a newer plan holder gave orders";
+                let message =
+                    "the fencing number is outdated; a newer lease holder has sent orders";
                 error_answer(
                     response,
                     StatusCode::CONFLICT,
@@ -182,7 +184,7 @@
             }
             OrderOutcome::NoMemory => {
                 self.shared.record().memory_refusals += 1;
-                let message = "the memory is too small; unload a model first";
+                let message = "not enough free memory; unload a model or adapter first";
                 error_answer(
                     response,
                     StatusCode::INSUFFICIENT_STORAGE,
--- a/crates/clementinepond_standin/src/engine/mod.rs
+++ b/crates/clementinepond_standin/src/engine/mod.rs
@@ -1,10 +1,11 @@
 //! Stand-in for a model engine.
 //!
 //! An engine serves completions in a continuous batch with priorities, keeps
-//! models and adapters in limited memory, takes orders, and reports with a
-//! lag. Its tokens depend only on the model, the version and the prompt, so a
-//! test computes any answer with [`expected_tokens`] and a resumed answer
-//! goes on exactly where the broken one ended.
+//! models and adapters in limited memory, applies orders that change it, and
+//! reports its state with a configurable lag. Its tokens depend only on the
+//! model, the version and the prompt, so a test can compute any answer with
+//! [`expected_tokens`], and a resumed answer continues exactly where the
+//! interrupted one ended.
 
 mod answer_envelope;
 mod batch_queue;
--- a/crates/clementinepond_standin/src/engine/prefix_cache.rs
+++ b/crates/clementinepond_standin/src/engine/prefix_cache.rs
@@ -1,17 +1,18 @@
-//! The cache of prompt prefixes.
+//! Cache of prompt prefixes.
 
 use std::collections::VecDeque;
 
-/// Change of the cache by one prompt.
+/// Effect of one prompt on the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CacheChange {
-    /// Whether the prefix was there.
+    /// Whether the cache already contained the prefix.
     pub(super) hit: bool,
-    /// Prefix that had to go.
+    /// Prefix evicted to stay within the limit.
     pub(super) evicted: Option<u64>,
 }
 
-/// Least recently used prefixes go first.
+/// LRU cache of prefix hashes, ordered from the least recently used one. It
+/// does not distinguish between models.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     limit: usize,
@@ -26,6 +27,7 @@
         }
     }
 
+    /// Marks a prefix as used, adding it if necessary.
     pub(super) fn touch(&mut self, prefix: u64) -> CacheChange {
         let found = self.prefixes.iter().position(|known| *known == prefix);
         if let Some(index) = found {
--- a/crates/clementinepond_standin/src/engine/serving.rs
+++ b/crates/clementinepond_standin/src/engine/serving.rs
@@ -1,4 +1,4 @@
-//! From a request to its answer.
+//! Admission of a request, prefill, and preparation of its answer.
 
 use super::answer_envelope::{AnswerEnvelope, FinishReason};
 use super::completion_request::CompletionRequest;
@@ -11,16 +11,16 @@
 use clementinepond_types::TimeSpan;
 use std::sync::Arc;
 
-/// Reason for which nothing was generated.
+/// Reason why no answer is generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NotServed {
-    /// Refused before anything ran.
+    /// The request was refused before it ran, with the given message.
     NotRun(&'static str),
     /// The request crashed the engine.
     Crashed,
 }
 
-/// Faults that strike one answer.
+/// Faults that affect one answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AnswerFaults {
     refused: bool,
@@ -33,6 +33,8 @@
 }
 
 impl AnswerFaults {
+    /// Draws all faults of a request at once, so that each rate advances with
+    /// every request, whether or not the fault takes effect.
     pub(super) fn draw(shared: &EngineShared) -> Self {
         let mut state = shared.faults();
         let FaultState { faults, random } = &mut *state;
@@ -54,7 +56,7 @@
     }
 }
 
-/// Waits for a place, reads the prompt and prepares the answer.
+/// Waits for a slot of the batch, prefills the prompt and prepares the answer.
 pub(super) async fn prepare(
     shared: &EngineShared,
     process: &Arc<EngineProcess>,
@@ -64,7 +66,7 @@
 ) -> Result<Generation, NotServed> {
     if faults.refused {
         return Err(NotServed::NotRun(
-            "the engine refuses; try another endpoint",
+            "refused by an injected fault; try another endpoint",
         ));
     }
     if process
@@ -186,7 +188,7 @@
         .then_some((after, StreamFault::Cross(envelope, seed)))
 }
 
-/// Returns an answer that belongs to another request.
+/// Returns the envelope and seed of an answer to a different request.
 fn other_answer(request: &CompletionRequest, version: &str) -> (AnswerEnvelope, u64) {
     let id = format!("other-{}", request.id);
     let prompt = format!("other {}", request.prompt);
--- a/crates/clementinepond_standin/src/fault/fault_rate.rs
+++ b/crates/clementinepond_standin/src/fault/fault_rate.rs
@@ -1,23 +1,24 @@
-//! A fault that triggers the next calls or a share of all calls.
+//! Rate of a fault: a number of next calls, a random share of calls, or both.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
 const PER_MILLE: u32 = 1_000;
 
-/// Whether a fault triggers a call: the next `next` calls for certain, and
-/// `per_mille` of the others by chance.
+/// Selects the calls that a fault affects: the next `next` calls, and a random
+/// `per_mille` share of the calls after them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultRate {
-    /// Calls that are struck for certain, counted down.
+    /// Number of next calls that are always affected; decremented with each one.
     pub next: u32,
-    /// Calls out of 1,000 that are struck by chance.
+    /// Share of the other calls that is affected at random, out of 1,000; from
+    /// 1,000 on, every call is affected.
     pub per_mille: u32,
 }
 
 impl FaultRate {
-    /// Strikes the next calls only.
+    /// Affects only the next `count` calls.
     #[must_use]
     pub const fn next(count: u32) -> Self {
         Self {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Strikes a share of the calls.
+    /// Affects a random share of the calls, out of 1,000.
     #[must_use]
     pub const fn per_mille(share: u32) -> Self {
         Self {
@@ -35,12 +36,13 @@
         }
     }
 
-    /// Strikes every call.
+    /// Affects every call.
     #[must_use]
     pub const fn always() -> Self {
         Self::per_mille(PER_MILLE)
     }
 
+    /// Returns whether the fault affects this call, and decrements `next`.
     pub(crate) fn triggers(&mut self, random: &mut impl Rng) -> bool {
         if self.next > 0 {
             self.next -= 1;
--- a/crates/clementinepond_standin/src/fault/mod.rs
+++ b/crates/clementinepond_standin/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! How often a fault triggers.
+//! Rates at which faults are injected.
 
 mod fault_rate;
 
--- a/crates/clementinepond_standin/src/lib.rs
+++ b/crates/clementinepond_standin/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins for what surrounds the system, and a load tool.
+//! Stand-ins for the external components of the system, and a load generator.
 //!
-//! [`platform`] keeps versioned objects, [`engine`] serves models and
-//! [`service`] is a plain service. Each listens on a real socket, can be made
-//! to fail while it runs, and records what it saw. [`load`] sends caller
-//! traffic and checks each answer against [`engine::expected_tokens`].
+//! [`platform`] stores versioned objects, [`engine`] serves models and
+//! [`service`] echoes requests. Each one listens on a TCP socket, injects
+//! configurable faults while it runs, and records the calls it received.
+//! [`load`] sends caller traffic and checks model answers against
+//! [`engine::expected_text`] and service answers against the request body.
 
 pub mod engine;
 pub mod fault;
--- a/crates/clementinepond_standin/src/load/answer_check.rs
+++ b/crates/clementinepond_standin/src/load/answer_check.rs
@@ -1,4 +1,4 @@
-//! Whether an answer is the one that its request must get.
+//! Comparison of an answer with the one expected for its request.
 
 use super::answer_reader::ReceivedAnswer;
 use super::load_options::{LoadForm, LoadOptions, LoadWorkload};
@@ -6,7 +6,7 @@
 use crate::engine::{answer_length, expected_text};
 use crate::service::ServiceEcho;
 
-/// How a request ended for its caller.
+/// Result of a request from the point of view of its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AnswerVerdict {
     Correct,
@@ -17,7 +17,7 @@
     TimedOut,
 }
 
-/// Returns the prompt as the engine joins it.
+/// Returns the prompt that the engine derives from the content of a request.
 pub(super) fn engine_prompt(form: &LoadForm, content: &str) -> String {
     match form {
         LoadForm::Chat => format!("user\n{content}\n"),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Checks the answer of a model.
+/// Checks the length, the token limit and the text of a model's answer.
 pub(super) fn check_tokens(
     options: &LoadOptions,
     request: &PlannedRequest,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Checks the answer of a plain service.
+/// Checks that the answer of a service echoes the body of its request.
 pub(super) fn check_echo(request: &PlannedRequest, body: &[u8]) -> AnswerVerdict {
     match serde_json::from_slice::<ServiceEcho>(body) {
         Ok(echo) if echo.body == request.content => AnswerVerdict::Correct,
--- a/crates/clementinepond_standin/src/load/answer_reader.rs
+++ b/crates/clementinepond_standin/src/load/answer_reader.rs
@@ -1,10 +1,10 @@
-//! Answers, read as they come.
+//! Incremental parsing of answers and event streams.
 
 use clementinepond_types::TimeSpan;
 use serde::Deserialize;
 use tokio::time::Instant;
 
-/// What was read of an answer.
+/// Content of an answer received so far.
 #[derive(Debug, Default)]
 pub(super) struct ReceivedAnswer {
     pub(super) text: String,
@@ -51,7 +51,7 @@
 }
 
 impl ReceivedAnswer {
-    /// Takes in one JSON body or event.
+    /// Adds a complete JSON body or the data of one event.
     pub(super) fn add_json(&mut self, json: &[u8]) {
         let Ok(body) = serde_json::from_slice::<AnswerBody>(json) else {
             self.malformed = true;
@@ -73,7 +73,8 @@
 
     fn add_event(&mut self, event: &[u8]) {
         let Some(data) = event.strip_prefix(b"data:") else {
-            // Comments keep a connection alive and carry nothing.
+            // Ignores comments, which only keep the connection alive, and any
+            // event that does not start with its data field.
             return;
         };
         let data = data.trim_ascii();
@@ -91,17 +92,17 @@
     }
 }
 
-/// Splits a stream of server-sent events.
+/// Splits a byte stream into server-sent events.
 #[derive(Debug, Default)]
 pub(super) struct EventSplitter {
     buffer: Vec<u8>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and passes on the events that are now whole.
+    /// Buffers bytes and adds the events that are now complete to the answer.
     pub(super) fn feed(&mut self, bytes: &[u8], answer: &mut ReceivedAnswer) {
-        let kept = bytes.iter().filter(|byte| **byte != b'\r');
-        self.buffer.extend(kept);
+        let without_returns = bytes.iter().filter(|byte| **byte != b'\r');
+        self.buffer.extend(without_returns);
         while let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
             answer.add_event(event.trim_ascii());
--- a/crates/clementinepond_standin/src/load/latency_histogram.rs
+++ b/crates/clementinepond_standin/src/load/latency_histogram.rs
@@ -1,22 +1,23 @@
-//! Latencies and their percentiles.
+//! Latency histogram and its percentiles.
 
 use clementinepond_types::TimeSpan;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Largest latency told apart, in microseconds.
+/// Largest latency that the histogram records, in microseconds (one hour);
+/// larger ones count as this value.
 const HIGHEST_MICROS: u64 = 3_600_000_000;
-/// Significant decimal digits.
+/// Number of significant decimal digits.
 const PRECISION: u8 = 3;
 
-/// Percentiles of a latency.
+/// Summary statistics of a latency.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LatencySummary {
-    /// Number of values.
+    /// Number of recorded latencies.
     pub count: u64,
-    /// Mean.
+    /// Mean latency.
     pub mean: TimeSpan,
-    /// Median.
+    /// Median latency.
     pub p50: TimeSpan,
     /// 90th percentile.
     pub p90: TimeSpan,
@@ -26,14 +27,15 @@
     pub p99: TimeSpan,
     /// 99.9th percentile.
     pub p999: TimeSpan,
-    /// Largest value.
+    /// Largest latency.
     pub max: TimeSpan,
 }
 
-/// Latencies, recorded in microseconds.
+/// Histogram of latencies, in microseconds.
 #[derive(Debug)]
 pub(super) struct LatencyHistogram {
-    // The bounds are valid constants; without a histogram nothing is recorded.
+    // Always present, as the bounds are valid constants; if absent, nothing is
+    // recorded.
     histogram: Option<Histogram<u64>>,
 }
 
--- a/crates/clementinepond_standin/src/load/load_options.rs
+++ b/crates/clementinepond_standin/src/load/load_options.rs
@@ -1,41 +1,42 @@
-//! Options of the load tool.
+//! Configuration of the load generator.
 
 use clementinepond_types::TimeSpan;
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Caller with its key.
+/// Caller and its API key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadCaller {
-    /// Name in the report.
+    /// Caller name in the report.
     pub name: Box<str>,
-    /// Key sent as bearer token; empty for none.
+    /// API key, sent as a bearer token; empty to send none.
     pub key: Box<str>,
-    /// Share of the requests, compared with the other callers'.
+    /// Weight of the caller in the draw among all callers.
     pub weight: u32,
 }
 
-/// Model or adapter that requests ask for.
+/// Model or adapter that receives requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadTarget {
-    /// Name of the model or adapter.
+    /// Model or adapter name in requests.
     pub model: Box<str>,
-    /// Versions that may answer.
+    /// Versions whose answers are accepted as correct.
     pub versions: Vec<Box<str>>,
-    /// Share of the requests, compared with the other models'.
+    /// Weight of the model in the draw among all models.
     pub weight: u32,
 }
 
-/// Smallest and largest length, both possible.
+/// Inclusive range of lengths; if `most` is less than `least`, all lengths are
+/// `least`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LengthRange {
-    /// Smallest length.
+    /// Minimum length.
     pub least: u32,
-    /// Largest length.
+    /// Maximum length.
     pub most: u32,
 }
 
@@ -45,7 +46,7 @@
     }
 }
 
-/// Form of a request.
+/// API or service that a request is sent to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadForm {
@@ -53,40 +54,42 @@
     Completion,
     /// `/v1/chat/completions`.
     Chat,
-    /// POST to a plain service.
+    /// POST to a service that is not a model.
     Service {
-        /// Path of the service.
+        /// Path of the request.
         path: Box<str>,
     },
 }
 
-/// One kind of request in the mix.
+/// Kind of request in the mix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadWorkload {
-    /// Form of the request.
+    /// API or service that the request is sent to.
     pub form: LoadForm,
-    /// Share of the requests, compared with the other workloads'.
+    /// Weight of the workload in the draw among all workloads.
     pub weight: u32,
-    /// Length of the prompt or body, in bytes.
+    /// Length of the content of the prompt or body, in bytes; the content exceeds the
+    /// drawn length by up to 7 bytes and contains at least the request number.
     pub prompt_bytes: LengthRange,
-    /// Limit on generated tokens.
+    /// Value of `max_tokens` in the request.
     pub max_tokens: LengthRange,
-    /// Whether the answer is streamed.
+    /// Whether the request asks for a streamed answer.
     pub stream: bool,
     /// Whether the request carries an idempotency key.
     pub keyed: bool,
 }
 
-/// How engines choose the length of an answer, when it is to be checked.
+/// Parameters by which engines choose the length of an answer, used to check
+/// it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnswerLength {
-    /// Seed of the engines.
+    /// Seed of the engines; see [`EngineOptions::seed`](crate::engine::EngineOptions::seed).
     pub seed: u64,
-    /// Shortest answer of the engines.
+    /// Minimum answer length of the engines, in tokens.
     pub shortest: u32,
-    /// Longest answer of the engines.
+    /// Maximum answer length of the engines, in tokens.
     pub longest: u32,
 }
 
@@ -94,27 +97,28 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadOptions {
-    /// Addresses to send to, in turn.
+    /// Addresses that requests are sent to, in round-robin order.
     pub targets: Vec<SocketAddr>,
-    /// Callers.
+    /// Callers to draw from.
     pub callers: Vec<LoadCaller>,
-    /// Models and adapters.
+    /// Models and adapters to draw from.
     pub models: Vec<LoadTarget>,
-    /// Mix of requests.
+    /// Workloads to draw from.
     pub workloads: Vec<LoadWorkload>,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Time during which requests leave.
+    /// Time during which requests are sent.
     pub duration: TimeSpan,
-    /// Longest wait for an answer.
+    /// Timeout of a request, up to the end of its answer.
     pub timeout: TimeSpan,
     /// Seed of the plan.
     pub seed: u64,
-    /// Header of the idempotency key.
+    /// Name of the idempotency key header.
     pub key_header: Box<str>,
-    /// Requests in flight beyond which further ones are left out and counted.
+    /// Number of requests in flight above which further ones are skipped and
+    /// counted as left out.
     pub in_flight_limit: usize,
-    /// How engines choose the length of an answer; not checked when absent.
+    /// Parameters to check answer lengths with; none disables the check.
     pub answer_length: Option<AnswerLength>,
 }
 
--- a/crates/clementinepond_standin/src/load/load_report.rs
+++ b/crates/clementinepond_standin/src/load/load_report.rs
@@ -1,53 +1,58 @@
-//! What a load run found.
+//! Results of a load run.
 
 use super::latency_histogram::LatencySummary;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Counts of one caller.
+/// Results of one caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerReport {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole and right answers.
+    /// Number of complete and correct answers.
     pub answered: u64,
-    /// Generated tokens in whole and right answers.
+    /// Number of generated tokens in complete and correct answers.
     pub tokens: u64,
-    /// Answers with another status than 2xx.
+    /// Number of answers whose status is not 2xx.
     pub refused: u64,
 }
 
-/// Outcome of a load run.
+/// Results of a load run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in the plan.
+    /// Number of requests in the plan.
     pub planned: u64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Requests left out because too many were in flight.
+    /// Number of requests skipped because too many were in flight.
     pub left_out: u64,
-    /// Whole and right answers.
+    /// Number of complete and correct answers.
     pub answered: u64,
-    /// Answers that differ from the expected one.
+    /// Number of answers that differ from the expected one.
     pub wrong: u64,
-    /// Answers that broke off after they began.
+    /// Number of answers that began and are not complete: the connection broke, or
+    /// the token usage or, in a stream, `[DONE]` is missing.
     pub incomplete: u64,
-    /// Requests whose connection broke before an answer began.
+    /// Number of requests that failed before an answer began, including those
+    /// that could not be built.
     pub broken: u64,
-    /// Requests without a whole answer in time.
+    /// Number of requests without a complete answer before the timeout.
     pub timed_out: u64,
-    /// Counts by status.
+    /// Number of requests by the status of their answer.
     pub by_status: BTreeMap<u16, u64>,
-    /// Counts by the header `clementinepond-outcome`.
+    /// Number of requests by the header `clementinepond-outcome` of their answer.
     pub by_outcome: BTreeMap<Box<str>, u64>,
-    /// Counts by caller.
+    /// Results by caller.
     pub by_caller: BTreeMap<Box<str>, CallerReport>,
-    /// Time from the planned moment to the first token of a stream.
+    /// Time from the planned send time to the first token of a stream; streams
+    /// that time out are not included.
     pub first_token: LatencySummary,
-    /// Time between two tokens of a stream.
+    /// Time between two consecutive tokens of a stream; streams that time out
+    /// are not included.
     pub between_tokens: LatencySummary,
-    /// Time from the planned moment to the end of a whole answer.
+    /// Time from the planned send time to the end of a complete and correct
+    /// answer.
     pub whole: LatencySummary,
-    /// Time by which requests left later than planned.
+    /// Delay between the planned and the actual send time.
     pub send_lag: LatencySummary,
 }
--- a/crates/clementinepond_standin/src/load/load_run.rs
+++ b/crates/clementinepond_standin/src/load/load_run.rs
@@ -1,4 +1,4 @@
-//! Sending the plan.
+//! Execution of a load plan.
 
 use super::answer_check::{AnswerVerdict, check_echo, check_tokens};
 use super::answer_reader::{EventSplitter, ReceivedAnswer};
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Header that names how a request ended.
+/// Header of an answer that states the outcome of its request.
 const OUTCOME_HEADER: &str = "clementinepond-outcome";
 
 type LoadClient = Client<HttpConnector, Full<Bytes>>;
@@ -36,9 +36,10 @@
     tally: Mutex<LoadTally>,
 }
 
-/// Sends the planned requests and reports what came back.
+/// Sends the planned requests and reports the results.
 ///
-/// Cancelling the token stops sending; answers on the way are still awaited.
+/// Cancelling the token stops sending; requests in flight still run to their
+/// end.
 pub async fn run_load(options: LoadOptions, cancel: CancellationToken) -> LoadReport {
     let plan = plan_requests(&options);
     let permits = Arc::new(Semaphore::new(options.in_flight_limit));
@@ -153,7 +154,7 @@
     }
 }
 
-/// Reads an answer to its end; false when it broke off.
+/// Reads an answer to its end; returns false if the connection broke before.
 async fn read_answer(response: Response<Incoming>, answer: &mut ReceivedAnswer) -> bool {
     let kind = header_text(&response, header::CONTENT_TYPE.as_str());
     let streamed = kind.is_some_and(|kind| kind.starts_with("text/event-stream"));
--- a/crates/clementinepond_standin/src/load/load_tally.rs
+++ b/crates/clementinepond_standin/src/load/load_tally.rs
@@ -1,11 +1,11 @@
-//! Counting while a load runs.
+//! Aggregation of results while a load run is in progress.
 
 use super::answer_check::AnswerVerdict;
 use super::latency_histogram::LatencyHistogram;
 use super::load_report::LoadReport;
 use clementinepond_types::TimeSpan;
 
-/// How one request ended.
+/// Result of one request.
 #[derive(Debug)]
 pub(super) struct RequestResult {
     pub(super) caller: Box<str>,
@@ -19,7 +19,7 @@
     pub(super) total_time: TimeSpan,
 }
 
-/// Counts and latencies so far.
+/// Counts and latencies recorded so far.
 #[derive(Debug)]
 pub(super) struct LoadTally {
     report: LoadReport,
--- a/crates/clementinepond_standin/src/load/mod.rs
+++ b/crates/clementinepond_standin/src/load/mod.rs
@@ -1,7 +1,7 @@
-//! Open-loop caller load.
+//! Open-loop load generator.
 //!
-//! Requests leave at moments drawn in advance from the seed, whether or not
-//! earlier ones have ended, and latency counts from the drawn moment. Each
+//! Requests are sent at times drawn in advance from the seed, whether or not
+//! earlier ones have ended, and latency is measured from the planned time. Each
 //! answer is compared with the one that the stand-ins give to its request.
 
 mod answer_check;
--- a/crates/clementinepond_standin/src/load/planned_request.rs
+++ b/crates/clementinepond_standin/src/load/planned_request.rs
@@ -1,4 +1,4 @@
-//! Requests drawn from the seed before the first one leaves.
+//! Plan of all requests of a run, drawn from the seed before sending starts.
 
 use super::load_options::{LoadForm, LoadOptions};
 use clementinepond_types::TimeSpan;
@@ -7,28 +7,30 @@
 use std::fmt::Write;
 use uuid::{Builder, Uuid};
 
-/// One request to send.
+/// Request to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedRequest {
-    /// Number in the plan.
+    /// Position in the plan, from 0.
     pub number: u64,
-    /// Time from the start at which it leaves.
+    /// Send time relative to the start of the run.
     pub send_offset: TimeSpan,
-    /// Index of its caller.
+    /// Index of the caller in the options.
     pub caller: usize,
-    /// Index of its model; none for a plain service or without models.
+    /// Index of the model in the options; none for a service, or if the options
+    /// name no models.
     pub model: Option<usize>,
-    /// Index of its workload.
+    /// Index of the workload in the options.
     pub workload: usize,
-    /// Content of the prompt or body, unlike that of any other request.
+    /// Content of the prompt or body, unique within the plan.
     pub content: Box<str>,
-    /// Limit on generated tokens.
+    /// Value of `max_tokens` in the request.
     pub max_tokens: u32,
-    /// Idempotency key, when the workload is keyed.
+    /// Idempotency key, if the workload is keyed.
     pub key: Option<Uuid>,
 }
 
-/// Draws all requests of a run.
+/// Draws all requests of a run; only the timestamps in idempotency keys depend
+/// on the clock instead of the seed.
 #[must_use]
 pub fn plan_requests(options: &LoadOptions) -> Vec<PlannedRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(options.seed);
@@ -42,7 +44,7 @@
     requests
 }
 
-/// Draws the time between two requests of a Poisson process.
+/// Draws the interval between two arrivals of a Poisson process.
 fn next_gap(options: &LoadOptions, random: &mut impl Rng) -> TimeSpan {
     let uniform: f64 = random.random();
     let seconds = -(1.0 - uniform).ln() / options.rate.max(f64::MIN_POSITIVE);
--- a/crates/clementinepond_standin/src/network/acceptor.rs
+++ b/crates/clementinepond_standin/src/network/acceptor.rs
@@ -1,4 +1,4 @@
-//! Acceptor that sends small writes at once.
+//! TCP acceptor that disables Nagle's algorithm.
 
 use salvo::conn::tcp::TcpCoupler;
 use salvo::conn::{Accepted, Acceptor, ConnCtrl, Holding, StraightStream};
@@ -8,8 +8,8 @@
 use std::io;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts TCP connections with Nagle's algorithm off, so that each streamed
-/// token leaves when it is written.
+/// Accepts TCP connections with Nagle's algorithm disabled, so that each
+/// streamed token is sent as soon as it is written.
 pub(super) struct NoDelayAcceptor {
     listener: TcpListener,
     holdings: Vec<Holding>,
--- a/crates/clementinepond_standin/src/network/call.rs
+++ b/crates/clementinepond_standin/src/network/call.rs
@@ -1,41 +1,39 @@
-//! One HTTP call, taken apart.
+//! HTTP calls and answers.
 
 use bytes::Bytes;
 use salvo::http::{HeaderMap, HeaderValue, Method, StatusCode, header};
 use salvo::{Request, Response};
 use serde::Serialize;
 
-/// Largest request body that is read, in bytes.
+/// Maximum size of a request body, in bytes; a call with a larger one is
+/// aborted.
 const BODY_LIMIT: usize = 8 * 1024 * 1024;
 
-/// One HTTP call with its body read.
+/// HTTP call whose body has been read.
 #[derive(Debug, Clone)]
 pub(crate) struct HttpCall {
-    /// Method.
     pub(crate) method: Method,
-    /// Segments of the path, percent-decoded.
+    /// Percent-decoded path segments, without empty ones.
     pub(crate) segments: Vec<String>,
-    /// Path as it came.
+    /// Path as received, not decoded.
     pub(crate) path: Box<str>,
-    /// Headers.
     pub(crate) headers: HeaderMap,
-    /// Body.
     pub(crate) body: Bytes,
 }
 
 impl HttpCall {
-    /// Returns a header as text.
+    /// Returns the value of a header; `None` if it is absent or not visible ASCII.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the path segments for matching.
+    /// Returns the path segments as a list that slice patterns can match.
     pub(crate) fn path_segments(&self) -> Vec<&str> {
         self.segments.iter().map(String::as_str).collect()
     }
 }
 
-/// Reads a call whole; `None` when the body breaks off or is too large.
+/// Reads a call and its body; `None` if the body is incomplete or too large.
 pub(crate) async fn read_call(request: &mut Request) -> Option<HttpCall> {
     let body = request.payload_with_max_size(BODY_LIMIT).await;
     let body = body.ok()?.clone();
@@ -49,12 +47,12 @@
     })
 }
 
-/// Returns a query parameter as a number.
+/// Returns a query parameter as a number; `None` if it is absent or not a number.
 pub(crate) fn query_number(request: &Request, name: &str) -> Option<u64> {
     request.query::<u64>(name)
 }
 
-/// Writes a JSON answer.
+/// Sets the status and a JSON body; the body is empty if serialization fails.
 pub(crate) fn answer_json(response: &mut Response, status: StatusCode, value: &impl Serialize) {
     let body = serde_json::to_vec(value).unwrap_or_default();
     response.status_code(status);
@@ -62,14 +60,14 @@
     response.body(body);
 }
 
-/// Sets a header; a value that no header can carry is left out.
+/// Sets a header, unless the value contains characters invalid in a header.
 pub(crate) fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
     }
 }
 
-/// Breaks the connection of a call without an answer.
+/// Aborts the connection of a call without an answer.
 pub(crate) fn abort_connection(request: &Request) {
     if let Some(control) = request.extensions().get::<salvo::conn::ConnCtrl>() {
         control.abort();
--- a/crates/clementinepond_standin/src/network/listen.rs
+++ b/crates/clementinepond_standin/src/network/listen.rs
@@ -1,4 +1,4 @@
-//! The task that listens, and goes down and up again when told to.
+//! Task that listens, and stops and resumes listening on request.
 
 use super::acceptor::NoDelayAcceptor;
 use super::standin_error::StandinError;
@@ -11,16 +11,18 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// Pause between two attempts to listen again on the same address.
+/// Interval between two attempts to bind the same address again.
 const REBIND_INTERVAL: TimeSpan = TimeSpan::from_millis(20);
 
-/// Orders that may wait: a crash and the request that ends it.
+/// Maximum number of pending restart requests; a crash and the restart that
+/// ends it count as one each.
 pub(crate) const RESTART_QUEUE_CAPACITY: usize = 8;
 
-/// Order to drop all connections and stop listening for a while.
+/// Request to drop all connections and stop listening for a while.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RestartRequest {
-    /// Time until it listens again; none to wait for the next request.
+    /// Time until listening resumes; none to wait for the next request, whose own
+    /// `down_for` is then ignored.
     pub(crate) down_for: Option<TimeSpan>,
 }
 
@@ -31,7 +33,7 @@
 }
 
 impl ListenTask {
-    /// Listens, and serves what `routes` gives for each life of the process.
+    /// Binds the address and serves the router that `routes` returns.
     ///
     /// `routes` is called once at the start and once after each restart.
     pub(crate) async fn start(
@@ -69,8 +71,8 @@
     }
 }
 
-/// Serves until a restart is ordered; dropping the server drops its
-/// connections.
+/// Serves until a restart is requested; returning drops the server with all its
+/// connections. `None` if the task is to end.
 async fn serve_until(
     serving: impl Future<Output = std::io::Result<()>>,
     restarts: &mut mpsc::Receiver<RestartRequest>,
--- a/crates/clementinepond_standin/src/network/mod.rs
+++ b/crates/clementinepond_standin/src/network/mod.rs
@@ -1,4 +1,4 @@
-//! Listening, restarting and the parts of a call that all stand-ins share.
+//! Listening, restarts and HTTP helpers shared by all stand-ins.
 
 mod acceptor;
 mod call;
--- a/crates/clementinepond_standin/src/network/standin_error.rs
+++ b/crates/clementinepond_standin/src/network/standin_error.rs
@@ -1,18 +1,18 @@
-//! Reasons for which a stand-in cannot start.
+//! Errors on starting a stand-in.
 
 use derive_more::{Display, Error};
 use std::io;
 use std::net::SocketAddr;
 
-/// Reason for which a stand-in cannot start.
+/// Reason why a stand-in cannot start.
 #[derive(Debug, Display, Error)]
 pub enum StandinError {
-    /// The address cannot be listened on.
+    /// Binding the address failed.
     #[display("cannot listen on {address}: {source}; choose a free address, or port 0 for any")]
     Listen {
-        /// Address that was asked for.
+        /// Address from the options.
         address: SocketAddr,
-        /// Reason given by the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/clementinepond_standin/src/platform/call_rate_limiter.rs
+++ b/crates/clementinepond_standin/src/platform/call_rate_limiter.rs
@@ -1,8 +1,8 @@
-//! Limit on calls a second.
+//! Rate limit of calls.
 
 use tokio::time::Instant;
 
-/// Token bucket that holds one second's worth of calls.
+/// Token bucket with the capacity of one second; a rate of 0 means no limit.
 #[derive(Debug)]
 pub(super) struct CallRateLimiter {
     per_second: f64,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Takes one call, or refuses it.
+    /// Takes a token; returns false if none is available.
     pub(super) fn try_acquire(&mut self) -> bool {
         if self.per_second == 0.0 {
             return true;
--- a/crates/clementinepond_standin/src/platform/handler.rs
+++ b/crates/clementinepond_standin/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform.
+//! HTTP interface of the platform stand-in.
 
 use super::object_store::{ChangeList, ChangeOutcome};
 use super::platform_faults::OutageKind;
@@ -12,24 +12,24 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Longest wait of a watch.
+/// Upper bound of the `wait-ms` parameter of a watch.
 const WATCH_WAIT_LIMIT: TimeSpan = TimeSpan::from_secs(600);
 
 /// Status and body of an answer.
 type JsonAnswer = (StatusCode, Value);
 
-/// What becomes of a call.
+/// Outcome of a call.
 #[derive(Debug)]
 enum CallOutcome {
-    /// It is answered.
+    /// The call is answered.
     Answered(JsonAnswer),
-    /// The connection breaks.
+    /// The connection is aborted.
     Broken,
-    /// No answer ever comes.
+    /// The call is never answered, and its connection stays open.
     Silent,
 }
 
-/// Kind of a call, for counting and faults.
+/// Kind of a call, by which calls are counted, limited and affected by faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Read,
@@ -37,7 +37,7 @@
     Watch,
 }
 
-/// Handler of every path.
+/// Handler of all paths.
 #[derive(Debug, Clone)]
 pub(super) struct PlatformHandler {
     shared: Arc<PlatformShared>,
@@ -59,7 +59,7 @@
             let counts = self.shared.lock().counts;
             return answer_json(response, StatusCode::OK, &counts);
         }
-        let outcome = self.process(request, &call).await;
+        let outcome = self.handle_call(request, &call).await;
         let delay = self.shared.lock().faults.delay;
         tokio::time::sleep(delay.duration()).await;
         match outcome {
@@ -89,7 +89,7 @@
         Self { shared }
     }
 
-    async fn process(&self, request: &Request, call: &HttpCall) -> CallOutcome {
+    async fn handle_call(&self, request: &Request, call: &HttpCall) -> CallOutcome {
         let kind = kind_of(call);
         if let Some(outcome) = self.admit(kind) {
             return outcome;
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Counts a call and refuses it when the platform is away or overrun.
+    /// Counts a call; returns its outcome if an outage or the rate limit prevents
+    /// it.
     fn admit(&self, kind: CallKind) -> Option<CallOutcome> {
         let mut state = self.shared.lock();
         match kind {
@@ -139,7 +140,7 @@
             CallKind::Read | CallKind::Watch => state.reads.try_acquire(),
         };
         (!allowed).then(|| {
-            let message = "the call rate is exceeded; call less often";
+            let message = "call rate limit exceeded; reduce the call rate";
             CallOutcome::Answered(error_answer(
                 StatusCode::TOO_MANY_REQUESTS,
                 "call_rate",
@@ -183,7 +184,7 @@
 
     fn read_value(&self, call: &HttpCall) -> Result<Value, JsonAnswer> {
         if call.body.len() > self.shared.value_limit {
-            let message = "the value is too large; keep it under the limit";
+            let message = "the value exceeds the size limit; store a smaller value";
             return Err(error_answer(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "value_too_large",
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Returns the end of a watch, or nothing while it has to wait.
+    /// Returns the outcome of a watch; `None` while it has to wait.
     fn poll_watch(&self, kind: &str, from: u64, expired: bool) -> Option<CallOutcome> {
         let state = self.shared.lock();
         match state.faults.outage {
@@ -228,7 +229,7 @@
         }
         match state.store.changes(kind, from) {
             ChangeList::TooOld => {
-                let message = "the version is not kept; list the kind again";
+                let message = "changes since this version are not available; list the kind again";
                 let answer = error_answer(StatusCode::GONE, "version_too_old", message);
                 Some(CallOutcome::Answered(answer))
             }
@@ -261,7 +262,7 @@
 }
 
 fn outage_answer() -> CallOutcome {
-    let message = "the platform is away; try again later";
+    let message = "the platform is unavailable; try again later";
     CallOutcome::Answered(error_answer(
         StatusCode::SERVICE_UNAVAILABLE,
         "outage",
@@ -270,7 +271,7 @@
 }
 
 fn not_found() -> JsonAnswer {
-    let message = "there is no such object; check the kind and the name";
+    let message = "no such object or path; check the kind and the name";
     error_answer(StatusCode::NOT_FOUND, "missing", message)
 }
 
--- a/crates/clementinepond_standin/src/platform/object_store.rs
+++ b/crates/clementinepond_standin/src/platform/object_store.rs
@@ -1,30 +1,31 @@
-//! Versioned objects and the changes kept for watches.
+//! Versioned objects and the latest changes, kept for watches.
 
 use super::stored_object::StoredObject;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Outcome of a conditional change.
+/// Outcome of a write or deletion.
 #[derive(Debug)]
 pub(super) enum ChangeOutcome {
-    /// The change took effect.
+    /// The change was applied; holds the object as changed.
     Applied(StoredObject),
-    /// The object had another version.
+    /// The object has another version than expected; holds the current object.
     Conflict(Option<StoredObject>),
-    /// There was no object to delete.
+    /// The object to delete does not exist.
     Missing,
 }
 
-/// Outcome of asking for changes.
+/// Outcome of a request for changes.
 #[derive(Debug)]
 pub(super) enum ChangeList {
-    /// Changes after the version asked for, up to the version of the store.
+    /// Version of the store, and the changes between the requested version and it.
     Changes(u64, Vec<StoredObject>),
-    /// The changes asked for are no longer kept.
+    /// The requested version is older than the kept changes, or newer than the
+    /// store.
     TooOld,
 }
 
-/// All objects, with one version counter.
+/// Objects by kind and name, with one version counter for all.
 #[derive(Debug)]
 pub(super) struct ObjectStore {
     version: u64,
@@ -99,7 +100,7 @@
         ChangeOutcome::Applied(object)
     }
 
-    /// Returns the changes of a kind after a version.
+    /// Returns the changes of a kind after version `from`.
     pub(super) fn changes(&self, kind: &str, from: u64) -> ChangeList {
         if from < self.dropped_version || from > self.version {
             return ChangeList::TooOld;
--- a/crates/clementinepond_standin/src/platform/platform_faults.rs
+++ b/crates/clementinepond_standin/src/platform/platform_faults.rs
@@ -1,38 +1,38 @@
-//! Faults of the platform.
+//! Faults that the platform injects.
 
 use crate::fault::FaultRate;
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// What callers see of an outage.
+/// Behaviour of an outage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutageKind {
     /// No outage.
     #[default]
     None,
-    /// Each call is answered with 503 and has no effect.
+    /// Calls are answered with 503 and have no effect.
     Refusing,
-    /// No call is answered or has an effect.
+    /// Calls are never answered and have no effect.
     Silent,
-    /// Writes take effect and nothing is answered.
+    /// Writes take effect, and calls are never answered.
     SilentWithEffect,
 }
 
-/// Faults that may be changed while the platform runs.
+/// Faults of the platform, which can be changed while it runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Outage that goes on until it is taken back.
+    /// Outage, which lasts until this is set to [`OutageKind::None`].
     pub outage: OutageKind,
-    /// Time by which each answer comes later.
+    /// Delay of each answer; the call takes effect before it.
     pub delay: TimeSpan,
-    /// Writes whose answer is lost after they took effect.
+    /// Writes whose answer is lost after they take effect.
     pub lost_write_answers: FaultRate,
-    /// Writes that are lost before they took effect.
+    /// Writes that are lost before they take effect.
     pub lost_writes: FaultRate,
-    /// Reads whose answer is lost.
+    /// Reads whose answer is lost; watches are not affected.
     pub lost_read_answers: FaultRate,
-    /// Whether the list of VMs stays as it is.
+    /// Whether changes of the list of VMs stay hidden.
     pub vm_list_frozen: bool,
 }
--- a/crates/clementinepond_standin/src/platform/platform_options.rs
+++ b/crates/clementinepond_standin/src/platform/platform_options.rs
@@ -1,4 +1,4 @@
-//! Options of the platform stand-in.
+//! Configuration of the platform stand-in.
 
 use super::platform_faults::PlatformFaults;
 use super::vm_list::VmEntry;
@@ -10,23 +10,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformOptions {
-    /// Address to listen on; port 0 takes any free one.
+    /// Address to listen on; port 0 selects a free one.
     pub listen: SocketAddr,
-    /// Seed of the faults that strike by chance.
+    /// Seed of random faults.
     pub seed: u64,
-    /// Reads and watches accepted a second; 0 for no limit.
+    /// Maximum number of reads and watches per second; 0 for no limit.
     pub reads_per_second: u32,
-    /// Writes accepted a second; 0 for no limit.
+    /// Maximum number of writes per second; 0 for no limit.
     pub writes_per_second: u32,
-    /// Largest value, in bytes.
+    /// Maximum size of a value, in bytes.
     pub value_limit: usize,
-    /// Changes kept for watches.
+    /// Number of latest changes kept for watches.
     pub kept_changes: usize,
-    /// Time after which a changed list of VMs is shown.
+    /// Time after which a change of the list of VMs becomes visible.
     pub vm_list_lag: TimeSpan,
-    /// VMs at the start.
+    /// Initial list of VMs.
     pub vms: Vec<VmEntry>,
-    /// Faults at the start.
+    /// Faults that are active from the start.
     pub faults: PlatformFaults,
 }
 
--- a/crates/clementinepond_standin/src/platform/platform_server.rs
+++ b/crates/clementinepond_standin/src/platform/platform_server.rs
@@ -1,4 +1,4 @@
-//! The running platform and the handle to it.
+//! Running platform stand-in and the handle that controls it.
 
 use super::call_rate_limiter::CallRateLimiter;
 use super::handler::PlatformHandler;
@@ -19,18 +19,18 @@
 use tokio::sync::{Notify, mpsc};
 use tokio_util::sync::CancellationToken;
 
-/// Counted calls.
+/// Number of calls by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Reads of objects, kinds and the list of VMs.
+    /// Reads of objects, kinds and the list of VMs, and calls of unknown paths.
     pub reads: u64,
-    /// Conditional updates and deletions.
+    /// Updates and deletions, conditional or not.
     pub writes: u64,
-    /// Watches, each counted once however long it waits.
+    /// Watches, each counted once regardless of how long it waits.
     pub watches: u64,
 }
 
-/// State behind the lock.
+/// Mutable state of the platform.
 #[derive(Debug)]
 pub(super) struct PlatformState {
     pub(super) store: ObjectStore,
@@ -42,7 +42,7 @@
     pub(super) random: ChaCha8Rng,
 }
 
-/// State shared by the handle and the calls.
+/// State shared by the handle and the handler.
 #[derive(Debug)]
 pub(super) struct PlatformShared {
     state: Mutex<PlatformState>,
@@ -56,21 +56,22 @@
     }
 }
 
-/// Running platform stand-in; stops when its token is cancelled.
+/// Handle of a running platform stand-in, which stops when its token is cancelled
+/// or the handle is dropped.
 #[derive(Debug)]
 pub struct PlatformServer {
     task: ListenTask,
     shared: Arc<PlatformShared>,
-    // Keeps the listening task from taking a closed channel for a stop.
+    // The listening task stops when this channel closes.
     _restarts: mpsc::Sender<RestartRequest>,
 }
 
 impl PlatformServer {
-    /// Starts to listen.
+    /// Starts a platform that listens on the configured address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address cannot be listened on.
+    /// Returns an error if binding the address fails.
     pub async fn start(
         options: PlatformOptions,
         cancel: CancellationToken,
@@ -101,19 +102,19 @@
         })
     }
 
-    /// Returns the address it listens on.
+    /// Returns the address that the platform listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.task.address()
     }
 
-    /// Changes the faults.
+    /// Updates the faults and wakes waiting watches.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.shared.lock().faults);
         self.shared.changed.notify_waiters();
     }
 
-    /// Replaces the list of VMs; shown after the lag.
+    /// Replaces the list of VMs; callers see the new list after the lag.
     pub fn set_vms(&self, vms: Vec<VmEntry>) {
         self.shared.lock().vms.replace(vms);
     }
@@ -124,25 +125,26 @@
         self.shared.lock().vms.latest().to_vec()
     }
 
-    /// Returns the counted calls.
+    /// Returns the number of calls by kind.
     #[must_use]
     pub fn calls(&self) -> CallCounts {
         self.shared.lock().counts
     }
 
-    /// Reads an object without a counted call.
+    /// Returns an object without counting a call.
     #[must_use]
     pub fn object(&self, kind: &str, name: &str) -> Option<StoredObject> {
         self.shared.lock().store.get(kind, name).cloned()
     }
 
-    /// Returns the objects of a kind without a counted call.
+    /// Returns the objects of a kind without counting a call.
     #[must_use]
     pub fn objects(&self, kind: &str) -> Vec<StoredObject> {
         self.shared.lock().store.list(kind)
     }
 
-    /// Writes an object without a counted call; returns its version.
+    /// Writes an object unconditionally and without counting a call; returns its
+    /// version.
     pub fn put_object(&self, kind: &str, name: &str, value: Value) -> u64 {
         let outcome = self.shared.lock().store.put(kind, name, None, value);
         self.shared.changed.notify_waiters();
--- a/crates/clementinepond_standin/src/platform/stored_object.rs
+++ b/crates/clementinepond_standin/src/platform/stored_object.rs
@@ -1,17 +1,17 @@
-//! One object of the store.
+//! Object of the store.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Object, or a change of an object when the value is null after a deletion.
+/// Object or change of an object; a deletion has the value null.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// Kind.
+    /// Kind of the object.
     pub kind: Box<str>,
-    /// Name, unique in its kind.
+    /// Name of the object, unique within its kind.
     pub name: Box<str>,
-    /// Version of the last change.
+    /// Version of the store at the last change of the object.
     pub version: u64,
-    /// Content.
+    /// Content of the object.
     pub value: Value,
 }
--- a/crates/clementinepond_standin/src/platform/vm_list.rs
+++ b/crates/clementinepond_standin/src/platform/vm_list.rs
@@ -1,11 +1,11 @@
-//! The lagging list of VMs.
+//! List of VMs with a lag.
 
 use clementinepond_types::{DataCentreId, TimeSpan, VmId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// State of a VM as the platform shows it.
+/// State of a VM in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
@@ -15,19 +15,19 @@
     Leaving,
 }
 
-/// One VM in the list.
+/// VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmEntry {
-    /// Name of the VM.
+    /// VM that the entry describes.
     pub vm: VmId,
-    /// Data centre of the VM.
+    /// Data centre that the VM belongs to.
     pub data_centre: DataCentreId,
-    /// State of the VM.
+    /// Whether the VM runs or is being stopped.
     pub state: VmState,
 }
 
-/// List of VMs that shows each change only after a lag.
+/// List of VMs whose changes become visible after a lag.
 #[derive(Debug)]
 pub(super) struct VmList {
     lag: TimeSpan,
@@ -49,11 +49,12 @@
         self.pending.push_back((due, vms));
     }
 
-    /// Returns the newest list without the lag.
+    /// Returns the newest list, whether or not it is visible yet.
     pub(super) fn latest(&self) -> &[VmEntry] {
         self.pending.back().map_or(&self.visible, |(_, vms)| vms)
     }
 
+    /// Returns the visible list; `frozen` keeps the one returned last.
     pub(super) fn visible(&mut self, frozen: bool) -> &[VmEntry] {
         let now = Instant::now();
         while !frozen && self.pending.front().is_some_and(|(due, _)| *due <= now) {
--- a/crates/clementinepond_standin/src/record/call_record.rs
+++ b/crates/clementinepond_standin/src/record/call_record.rs
@@ -1,23 +1,23 @@
-//! Calls seen and runs counted.
+//! Recorded calls and counts of runs.
 
 use crate::network::HttpCall;
 use std::collections::{BTreeMap, VecDeque};
 
-/// One call as it arrived.
+/// Call as received.
 #[derive(Debug, Clone)]
 pub struct RecordedCall {
-    /// Method.
+    /// HTTP method.
     pub method: Box<str>,
-    /// Path.
+    /// Path, not decoded.
     pub path: Box<str>,
-    /// Header names and values.
+    /// Header names in lower case, and values.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// Body as text.
+    /// Body, with invalid UTF-8 replaced.
     pub body: Box<str>,
 }
 
 impl RecordedCall {
-    /// Returns whether the text occurs in the path, a header or the body.
+    /// Returns whether the path, a header or the body contains a text.
     #[must_use]
     pub fn contains(&self, text: &str) -> bool {
         let in_headers =
@@ -25,7 +25,7 @@
         self.path.contains(text) || self.body.contains(text) || self.headers.iter().any(in_headers)
     }
 
-    /// Returns the first value of a header.
+    /// Returns the first value of a header; `name` is in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(key, _)| key.as_ref() == name);
@@ -33,7 +33,7 @@
     }
 }
 
-/// The latest calls, and how often each request ran.
+/// Latest calls, and number of runs of each request.
 #[derive(Debug, Default, Clone)]
 pub struct CallRecord {
     limit: usize,
@@ -41,17 +41,17 @@
     run_order: VecDeque<Box<str>>,
     runs_by_request: BTreeMap<Box<str>, u64>,
     runs_by_body: BTreeMap<Box<str>, u64>,
-    /// Calls that arrived, also those no longer kept.
+    /// Number of calls received, including those no longer kept.
     pub arrived: u64,
-    /// Requests that began to run.
+    /// Number of requests that started to run.
     pub runs: u64,
-    /// Requests refused before anything ran.
+    /// Number of requests refused before they ran.
     pub refused: u64,
-    /// Requests that began to run although the endpoint was draining.
+    /// Number of requests that started to run while the endpoint was draining.
     pub runs_while_draining: u64,
-    /// Orders to load that did not fit into the memory.
+    /// Number of load orders refused for lack of memory.
     pub memory_refusals: u64,
-    /// Orders refused because of an old fencing number.
+    /// Number of orders refused because of an old fencing number.
     pub fencing_refusals: u64,
 }
 
@@ -105,31 +105,32 @@
         &self.calls
     }
 
-    /// Returns whether the text occurs in any kept call.
+    /// Returns whether any kept call contains a text.
     #[must_use]
     pub fn contains(&self, text: &str) -> bool {
         self.calls.iter().any(|call| call.contains(text))
     }
 
-    /// Returns the identifiers of the latest runs, in the order of their start.
+    /// Returns the request identifiers of the latest runs, in the order in which
+    /// they started.
     #[must_use]
     pub fn run_order(&self) -> &VecDeque<Box<str>> {
         &self.run_order
     }
 
-    /// Returns how often a request of this identifier ran.
+    /// Returns the number of runs of requests with this identifier.
     #[must_use]
     pub fn runs_of_request(&self, id: &str) -> u64 {
         self.runs_by_request.get(id).copied().unwrap_or_default()
     }
 
-    /// Returns how often a request with this body ran.
+    /// Returns the number of runs of requests with this body.
     #[must_use]
     pub fn runs_of_body(&self, body: &str) -> u64 {
         self.runs_by_body.get(body).copied().unwrap_or_default()
     }
 
-    /// Returns the number of runs of each body.
+    /// Returns the number of runs by body.
     #[must_use]
     pub fn runs_by_body(&self) -> &BTreeMap<Box<str>, u64> {
         &self.runs_by_body
--- a/crates/clementinepond_standin/src/record/mod.rs
+++ b/crates/clementinepond_standin/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! What a stand-in saw, kept for tests.
+//! Record of the calls that a stand-in received, kept for tests.
 
 mod call_record;
 
--- a/crates/clementinepond_standin/src/service/handler.rs
+++ b/crates/clementinepond_standin/src/service/handler.rs
@@ -1,4 +1,4 @@
-//! Calls to a plain service.
+//! HTTP interface of the service stand-in.
 
 use super::service_server::ServiceShared;
 use crate::network::{HttpCall, abort_connection, answer_json, read_call, set_header};
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Header by which an answer names its request.
+/// Header with the identifier of the request, in requests and answers.
 const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Answer of a plain service.
+/// Answer of a service, which echoes the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceEcho {
-    /// Identifier of the request.
+    /// Value of the header `x-request-id`; empty if it is absent.
     pub id: Box<str>,
     /// Method of the request.
     pub method: Box<str>,
@@ -25,28 +25,28 @@
     pub path: Box<str>,
     /// Body of the request.
     pub body: Box<str>,
-    /// How many requests ran before and with this one.
+    /// Number of requests that had started to run, including this one.
     pub run: u64,
 }
 
-/// Report of a plain service.
+/// Report of a service on its load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// Name of the endpoint.
+    /// Endpoint that reports.
     pub endpoint: EndpointId,
-    /// Changes when the endpoint restarts.
+    /// Number of the endpoint process, which grows with each restart.
     pub incarnation: u64,
-    /// Grows with each report.
+    /// Number of the report within the incarnation, from 1.
     pub report_number: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u64,
-    /// Requests that wait.
+    /// Number of requests that wait to run.
     pub queued: u64,
-    /// Whether the endpoint leaves.
+    /// Whether the endpoint is being drained.
     pub draining: bool,
 }
 
-/// Handler of every path.
+/// Handler of all paths.
 #[derive(Debug)]
 pub(super) struct ServiceHandler {
     shared: Arc<ServiceShared>,
@@ -97,7 +97,8 @@
         Self { shared }
     }
 
-    /// Runs a request; false when the connection breaks instead.
+    /// Runs a request; returns false if the connection is to be aborted instead
+    /// of answering.
     async fn run(&self, call: &HttpCall, response: &mut Response) -> bool {
         let shared = &self.shared;
         if shared.triggers(|faults| &mut faults.resets_after_read) {
@@ -108,7 +109,7 @@
             shared.record().refused += 1;
             set_header(response, REQUEST_ID_HEADER, id);
             set_header(response, "x-not-run", "true");
-            let message = "the service refuses; try another endpoint";
+            let message = "refused by an injected fault; try another endpoint";
             let error = json!({"error": {"code": "not_run", "message": message}});
             answer_json(response, StatusCode::SERVICE_UNAVAILABLE, &error);
             return true;
@@ -162,7 +163,7 @@
     }
 }
 
-/// Call that waits for a place; no longer counted once dropped.
+/// Call that waits for a permit to run; no longer counted as queued once dropped.
 struct QueuedCall<'a>(&'a ServiceShared);
 
 impl<'a> QueuedCall<'a> {
--- a/crates/clementinepond_standin/src/service/mod.rs
+++ b/crates/clementinepond_standin/src/service/mod.rs
@@ -1,7 +1,8 @@
-//! Stand-in for a plain service.
+//! Stand-in for a service that is not a model.
 //!
-//! Any method below `/` runs once each time it arrives and echoes what it
-//! got, so that a test counts runs and recognises its own answer.
+//! Every request except `GET /report` runs once each time it arrives, and its
+//! answer echoes it, so that a test can count runs and match each answer with
+//! its request.
 
 mod handler;
 mod service_faults;
--- a/crates/clementinepond_standin/src/service/service_faults.rs
+++ b/crates/clementinepond_standin/src/service/service_faults.rs
@@ -1,32 +1,35 @@
-//! Faults of a plain service.
+//! Faults that a service injects.
 
 use crate::fault::FaultRate;
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// Faults that may be changed while the service runs.
+/// Faults of a service, which can be changed while it runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Texts in a body that crash the service once the request runs.
+    /// Texts that crash the service when the body of a request that runs contains
+    /// one.
     pub crash_markers: Vec<Box<str>>,
-    /// Time from a crash to the next life; none to stay down.
+    /// Time from such a crash until the service listens again; none to stay down
+    /// until [`ServiceServer::restart`](super::ServiceServer::restart).
     pub down_for: Option<TimeSpan>,
-    /// Connections broken before the body is read.
+    /// Requests whose connection is aborted before the body is read.
     pub resets_before_read: FaultRate,
-    /// Connections broken after the body was read, before anything ran.
+    /// Requests whose connection is aborted after the body was read and before
+    /// they run.
     pub resets_after_read: FaultRate,
-    /// Connections broken after the request ran.
+    /// Requests whose connection is aborted after they ran.
     pub resets_after_run: FaultRate,
-    /// Requests refused with `x-not-run`.
+    /// Requests refused with 503 and `x-not-run` before they run.
     pub refusals: FaultRate,
-    /// Requests whose answer comes late.
+    /// Requests whose answer is delayed by `late_by`.
     pub late_answers: FaultRate,
-    /// Time by which a late answer is late.
+    /// Delay of a late answer.
     pub late_by: TimeSpan,
-    /// Answers that are those of another request.
+    /// Requests that get the answer of another request.
     pub crossed_answers: FaultRate,
-    /// Reports whose answer is lost.
+    /// Report calls whose answer is lost.
     pub lost_reports: FaultRate,
 }
 
--- a/crates/clementinepond_standin/src/service/service_options.rs
+++ b/crates/clementinepond_standin/src/service/service_options.rs
@@ -1,4 +1,4 @@
-//! Options of the service stand-in.
+//! Configuration of the service stand-in.
 
 use super::service_faults::ServiceFaults;
 use clementinepond_types::{EndpointId, TimeSpan};
@@ -9,21 +9,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceOptions {
-    /// Address to listen on; port 0 takes any free one.
+    /// Address to listen on; port 0 selects a free one.
     pub listen: SocketAddr,
-    /// Name in reports.
+    /// Endpoint name in reports and log lines.
     pub endpoint: EndpointId,
-    /// Seed of the faults that strike by chance.
+    /// Seed of random faults.
     pub seed: u64,
-    /// Incarnation of the first life; taken from the clock when absent.
+    /// Incarnation of the first process, at least 1; derived from the clock if
+    /// absent.
     pub incarnation: Option<u64>,
-    /// Requests that run at the same time; more wait.
+    /// Number of requests that run concurrently; further ones wait.
     pub concurrency: usize,
-    /// Time of one request.
+    /// Time that one request takes.
     pub work_time: TimeSpan,
-    /// Calls kept for tests.
+    /// Number of latest calls kept in the record; 0 also disables counting runs
+    /// by request and by body.
     pub recorded_calls: usize,
-    /// Faults at the start.
+    /// Faults that are active from the start.
     pub faults: ServiceFaults,
 }
 
--- a/crates/clementinepond_standin/src/service/service_server.rs
+++ b/crates/clementinepond_standin/src/service/service_server.rs
@@ -1,4 +1,4 @@
-//! The running service and the handle to it.
+//! Running service stand-in and the handle that controls it.
 
 use super::handler::ServiceHandler;
 use super::service_faults::ServiceFaults;
@@ -19,14 +19,14 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio_util::sync::CancellationToken;
 
-/// Faults and the chance by which they strike.
+/// Configured faults and the random generator that selects affected calls.
 #[derive(Debug)]
 struct FaultState {
     faults: ServiceFaults,
     random: ChaCha8Rng,
 }
 
-/// State shared by the handle and all shared_state.
+/// State shared by the handle and all processes of the service.
 #[derive(Debug)]
 pub(super) struct ServiceShared {
     pub(super) options: ServiceOptions,
@@ -46,21 +46,21 @@
         lock(&self.record)
     }
 
-    /// Returns whether a fault triggers this time.
+    /// Returns whether a fault affects this call.
     pub(super) fn triggers(&self, rate: impl FnOnce(&mut ServiceFaults) -> &mut FaultRate) -> bool {
         let mut state = lock(&self.faults);
         let FaultState { faults, random } = &mut *state;
         rate(faults).triggers(random)
     }
 
-    /// Returns the time by which this answer is late.
+    /// Returns the delay of this answer; zero unless the fault affects it.
     pub(super) fn late_by(&self) -> TimeSpan {
         let late = self.triggers(|faults| &mut faults.late_answers);
         let late_by = lock(&self.faults).faults.late_by;
         if late { late_by } else { TimeSpan::ZERO }
     }
 
-    /// Crashes when the body holds a marker; returns whether it did.
+    /// Crashes if the body contains a crash marker; returns whether it does.
     pub(super) fn crash_if_marked(&self, body: &str) -> bool {
         let down_for = {
             let state = lock(&self.faults);
@@ -83,12 +83,12 @@
     }
 
     fn request_restart(&self, down_for: Option<TimeSpan>) {
-        // The channel is full only when more crashes than it holds are due.
+        // The channel is full only if more restarts are pending than it holds.
         let _ = self.restarts.try_send(RestartRequest { down_for });
     }
 }
 
-/// Running service stand-in; stops when its token is cancelled.
+/// Handle of a running service stand-in, which stops when its token is cancelled.
 #[derive(Debug)]
 pub struct ServiceServer {
     task: ListenTask,
@@ -96,11 +96,11 @@
 }
 
 impl ServiceServer {
-    /// Starts to listen.
+    /// Starts a service that listens on the configured address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address cannot be listened on.
+    /// Returns an error if binding the address fails.
     pub async fn start(
         options: ServiceOptions,
         cancel: CancellationToken,
@@ -112,7 +112,7 @@
             permits: Semaphore::new(options.concurrency),
             queued: AtomicU64::new(0),
             report_number: AtomicU64::new(0),
-            // Each life adds one when it starts.
+            // Incremented by each process when it starts, including the first.
             incarnation: AtomicU64::new(incarnation.saturating_sub(1)),
             draining: AtomicBool::new(false),
             down: AtomicBool::new(false),
@@ -140,34 +140,35 @@
         Ok(Self { task, shared })
     }
 
-    /// Returns the address it listens on, the same after each restart.
+    /// Returns the address that the service listens on; it does not change on
+    /// restart.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.task.address()
     }
 
-    /// Changes the faults.
+    /// Updates the faults.
     pub fn set_faults(&self, change: impl FnOnce(&mut ServiceFaults)) {
         change(&mut lock(&self.shared.faults).faults);
     }
 
-    /// Sets whether reports say that the endpoint leaves.
+    /// Sets whether reports show the endpoint as draining.
     pub fn set_draining(&self, draining: bool) {
         self.shared.draining.store(draining, Ordering::Release);
     }
 
-    /// Breaks all connections and stops to listen; listens again with a new
-    /// incarnation after `down_for`, or when told by [`Self::restart`].
+    /// Aborts all connections and stops listening; listens again with a new
+    /// incarnation after `down_for`, or with none, on [`Self::restart`].
     pub fn crash(&self, down_for: Option<TimeSpan>) {
         self.shared.crash(down_for);
     }
 
-    /// Listens again after a crash without an end.
+    /// Listens again after a crash with no `down_for`.
     pub fn restart(&self) {
         self.shared.request_restart(Some(TimeSpan::ZERO));
     }
 
-    /// Returns what it saw.
+    /// Returns a copy of the record of calls and runs.
     #[must_use]
     pub fn record(&self) -> CallRecord {
         self.shared.record().clone()
--- a/crates/clementinepond_standin/tests/openai_client.rs
+++ b/crates/clementinepond_standin/tests/openai_client.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in, seen by a real client library.
+//! Compatibility of the engine stand-in with the `async-openai` client.
 
 use async_openai::Client;
 use async_openai::config::OpenAIConfig;
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 #[tokio::test]
-async fn whole_and_streamed_chats_are_read() {
+async fn client_library_reads_complete_and_streamed_chats() {
     let cancel = CancellationToken::new();
     let _guard = cancel.clone().drop_guard();
     let options = EngineOptions {
--- a/crates/clementinepond_standin/tests/standin/client.rs
+++ b/crates/clementinepond_standin/tests/standin/client.rs
@@ -1,4 +1,4 @@
-//! Plain HTTP client of the tests.
+//! HTTP client for the tests.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Answer read whole.
+/// Answer whose body has been read.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
@@ -22,7 +22,7 @@
         serde_json::from_str(&self.body).unwrap()
     }
 
-    /// Values of the `data:` events before `[DONE]`.
+    /// Returns the JSON values of the `data:` events other than `[DONE]`.
     pub(crate) fn events(&self) -> Vec<Value> {
         let data = self
             .body
@@ -34,7 +34,7 @@
     }
 }
 
-/// Client of one server.
+/// Client of the server at one address.
 #[derive(Debug, Clone)]
 pub(crate) struct TestClient {
     address: SocketAddr,
@@ -47,7 +47,7 @@
         Self { address, client }
     }
 
-    /// Sends a call; `None` when the connection breaks.
+    /// Sends a call; `None` if the connection breaks.
     pub(crate) async fn send(
         &self,
         method: &str,
--- a/crates/clementinepond_standin/tests/standin/engine.rs
+++ b/crates/clementinepond_standin/tests/standin/engine.rs
@@ -1,4 +1,4 @@
-//! Serving, orders and reports of an engine.
+//! Tests of serving, orders, reports and cache events of the engine.
 
 use crate::client::TestClient;
 use clementinepond_standin::engine::{
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn completes_with_the_expected_tokens() {
+async fn completion_returns_expected_tokens() {
     let (server, client, _guard) = start(options()).await;
     let body = json!({"model": "m", "prompt": "hello", "max_tokens": 5}).to_string();
     let headers = [("x-request-id", "r-1"), ("authorization", "Bearer secret")];
@@ -70,15 +70,15 @@
 }
 
 #[tokio::test]
-async fn streams_one_token_a_chunk_and_resumes() {
+async fn stream_sends_one_token_per_chunk_and_resumes() {
     let (_server, client, _guard) = start(options()).await;
     let mut body = json!({
         "model": "m", "stream": true,
         "messages": [{"role": "user", "content": "hello"}]
     });
-    let whole = client.post("/v1/chat/completions", &body).await;
-    assert!(whole.body.ends_with("data: [DONE]\n\n"));
-    let events = whole.events();
+    let full = client.post("/v1/chat/completions", &body).await;
+    assert!(full.body.ends_with("data: [DONE]\n\n"));
+    let events = full.events();
     let tokens = expected_tokens("m", "v1", "user\nhello\n", 16);
     let content = |event: &Value| event["choices"][0]["delta"]["content"].clone();
     assert_eq!(events.iter().map(content).collect::<Vec<_>>(), tokens);
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test]
-async fn refuses_a_model_that_is_not_loaded() {
+async fn request_for_unloaded_model_is_refused() {
     let (server, client, _guard) = start(options()).await;
     let answer = client
         .post("/v1/completions", &json!({"model": "n", "prompt": "p"}))
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn orders_change_the_memory_and_never_overcommit_it() {
+async fn load_order_beyond_memory_is_refused() {
     let (server, client, _guard) = start(options()).await;
     assert_eq!(order(&client, 1, 3, load("n", 60)).await, 202);
     assert_eq!(order(&client, 1, 3, load("n", 60)).await, 202);
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test]
-async fn engines_without_the_check_take_old_fencing_numbers() {
+async fn old_fencing_number_is_accepted_without_check() {
     let options = EngineOptions {
         checks_fencing: false,
         ..options()
@@ -156,7 +156,7 @@
 }
 
 #[tokio::test]
-async fn a_draining_model_finishes_what_runs() {
+async fn draining_model_finishes_running_requests() {
     let options = EngineOptions {
         token_time: TimeSpan::from_millis(2),
         ..options()
@@ -178,7 +178,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_tell_what_is_stored_and_evicted() {
+async fn cache_events_report_stored_and_evicted_prefixes() {
     let options = EngineOptions {
         cached_prefixes: 1,
         ..options()
--- a/crates/clementinepond_standin/tests/standin/engine_faults.rs
+++ b/crates/clementinepond_standin/tests/standin/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of an engine.
+//! Tests of engine faults, cancellation and priorities.
 
 use crate::client::TestClient;
 use crate::engine::{options, start};
@@ -12,7 +12,7 @@
 }
 
 #[tokio::test]
-async fn a_crash_breaks_all_connections_and_empties_the_memory() {
+async fn crash_aborts_all_connections_and_empties_memory() {
     let options = EngineOptions {
         token_time: TimeSpan::from_secs(60),
         ..options()
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn connections_break_before_and_after_the_run() {
+async fn resets_abort_connections_before_and_after_run() {
     let (server, client, _guard) = start(options()).await;
     let body = stream("p").to_string();
     server.set_faults(|faults| {
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn streams_turn_to_another_answer_or_break_off() {
+async fn streams_are_crossed_or_truncated_after_configured_tokens() {
     let (server, client, _guard) = start(options()).await;
     server.set_faults(|faults| faults.crossed_streams = FaultRate::next(1));
     let crossed = texts(&client, "p").await;
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_request_breaks_off() {
+async fn cancelled_request_aborts_its_connection() {
     let options = EngineOptions {
         token_time: TimeSpan::from_secs(60),
         ..options()
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn lost_orders_and_lost_answers_differ_in_effect() {
+async fn lost_order_has_no_effect_but_order_with_lost_answer_does() {
     let (server, client, _guard) = start(options()).await;
     let action = json!({"load_model": {"model": "n", "version": "v1", "memory_mib": 1}});
     let body = |order: u64| {
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn larger_priority_runs_first() {
+async fn higher_priority_runs_first() {
     let options = EngineOptions {
         batch_size: 1,
         token_time: TimeSpan::from_secs(60),
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn reports_may_lag_and_the_same_seed_strikes_the_same_calls() {
+async fn report_lags_and_same_seed_selects_same_calls() {
     let options = EngineOptions {
         report_lag: TimeSpan::from_secs(600),
         faults: EngineFaults {
--- a/crates/clementinepond_standin/tests/standin/load.rs
+++ b/crates/clementinepond_standin/tests/standin/load.rs
@@ -1,4 +1,4 @@
-//! The load tool against the stand-ins.
+//! Tests of the load generator against the stand-ins.
 
 use crate::engine::{options, start};
 use clementinepond_standin::engine::EngineOptions;
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn the_plan_follows_from_the_seed() {
+fn plan_is_determined_by_seed() {
     let options = load_options(([127, 0, 0, 1], 1).into());
     let plan = |seed| {
         let mut plan = plan_requests(&LoadOptions {
             seed,
             ..options.clone()
         });
-        // The keys name the time at which they were drawn.
+        // Idempotency keys contain the time at which they were drawn.
         plan.iter_mut().for_each(|request| request.key = None);
         plan
     };
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn right_answers_are_counted_as_such() {
+async fn correct_answers_are_counted() {
     let report = run(|_| {}).await;
     assert!(report.planned > 50);
     assert_eq!(
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn wrong_answers_are_counted_as_such() {
+async fn wrong_answers_are_counted() {
     let report = run(|faults| faults.crossed_answers = FaultRate::next(5)).await;
     assert_eq!(report.wrong, 5);
     let report = run(|faults| {
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn broken_answers_are_counted_as_such() {
+async fn incomplete_broken_and_refused_answers_are_counted() {
     let report = run(|faults| {
         faults.turn_after_tokens = 0;
         faults.truncated_streams = FaultRate::always();
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test]
-async fn echoes_of_plain_services_are_checked() {
+async fn echoes_of_services_are_checked() {
     let cancel = CancellationToken::new();
     let _guard = cancel.clone().drop_guard();
     let service = ServiceServer::start(ServiceOptions::default(), cancel.clone());
--- a/crates/clementinepond_standin/tests/standin/main.rs
+++ b/crates/clementinepond_standin/tests/standin/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins on real sockets.
+//! Tests of the stand-ins over TCP sockets.
 
 #![expect(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/clementinepond_standin/tests/standin/platform.rs
+++ b/crates/clementinepond_standin/tests/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The object API of the platform.
+//! Tests of the object API, watches, faults and VM list of the platform.
 
 use crate::client::TestClient;
 use clementinepond_standin::fault::FaultRate;
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test]
-async fn conditional_updates_refuse_other_versions() {
+async fn conditional_update_of_other_version_conflicts() {
     let (_server, client, _guard) = start(PlatformOptions::default()).await;
     let created = client
         .put("/objects/claim/a%2F1?if-version=0", "{\"x\":1}")
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn overwrites_without_a_condition_and_refuses_bad_values() {
+async fn unconditional_write_overwrites_and_invalid_value_is_refused() {
     let options = PlatformOptions {
         value_limit: 10,
         ..PlatformOptions::default()
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn watch_wakes_on_a_change_of_its_kind() {
+async fn watch_returns_on_change_of_its_kind() {
     let (server, client, _guard) = start(PlatformOptions::default()).await;
     let watcher = client.clone();
     let watch =
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test]
-async fn watch_from_a_dropped_version_is_told_to_list() {
+async fn watch_from_dropped_version_returns_410() {
     let options = PlatformOptions {
         kept_changes: 2,
         ..PlatformOptions::default()
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn counts_calls_and_refuses_too_many() {
+async fn calls_are_counted_and_refused_above_rate_limit() {
     let options = PlatformOptions {
         reads_per_second: 1,
         ..PlatformOptions::default()
@@ -128,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_leaves_the_effect() {
+async fn write_with_lost_answer_takes_effect() {
     let (server, client, _guard) = start(PlatformOptions::default()).await;
     server.set_faults(|faults| faults.lost_write_answers = FaultRate::next(1));
     let lost = client
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn outages_refuse_or_stay_silent() {
+async fn outage_refuses_calls_or_leaves_them_unanswered() {
     let (server, client, _guard) = start(PlatformOptions::default()).await;
     server.set_faults(|faults| faults.outage = OutageKind::Refusing);
     let refused = client.put("/objects/claim/a", "1").await;
@@ -169,7 +169,7 @@
 }
 
 #[tokio::test]
-async fn the_list_of_vms_can_stay_stale() {
+async fn frozen_vm_list_hides_changes() {
     let entry = |state| VmEntry {
         vm: "vm-1".parse().unwrap(),
         data_centre: "dc-1".parse().unwrap(),
--- a/crates/clementinepond_standin/tests/standin/service.rs
+++ b/crates/clementinepond_standin/tests/standin/service.rs
@@ -1,4 +1,4 @@
-//! Runs and faults of a plain service.
+//! Tests of runs, reports and faults of the service.
 
 use crate::client::TestClient;
 use clementinepond_standin::fault::FaultRate;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn counts_runs_and_echoes() {
+async fn runs_are_counted_and_requests_echoed() {
     let (server, client, _guard) = start().await;
     let headers = [("x-request-id", "r-1")];
     for run in 1..3 {
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn breaks_connections_before_and_after_the_run() {
+async fn resets_abort_connections_before_and_after_run() {
     let (server, client, _guard) = start().await;
     server.set_faults(|faults| faults.resets_after_read = FaultRate::next(1));
     assert!(client.send("POST", "/a", &[], "one").await.is_none());
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn a_crash_brings_a_new_incarnation_on_the_same_address() {
+async fn crash_restarts_with_new_incarnation_on_same_address() {
     let (server, client, _guard) = start().await;
     server.set_faults(|faults| {
         faults.crash_markers = vec!["poison".into()];
