--- a/crates/clementinepond_standin/src/load/load_options.rs
+++ b/crates/clementinepond_standin/src/load/load_options.rs
@@ -69,8 +69,9 @@
     pub form: LoadForm,
     /// Weight of the workload in the draw among all workloads.
     pub weight: u32,
-    /// Length of the content of the prompt or body, in bytes; the content exceeds the
-    /// drawn length by up to 7 bytes and contains at least the request number.
+    /// Length of the content of the prompt or body, in bytes; the content exceeds
+    /// the drawn length by up to 7 bytes, and always contains the number of the
+    /// request.
     pub prompt_bytes: LengthRange,
     /// Value of `max_tokens` in the request.
     pub max_tokens: LengthRange,
@@ -93,7 +94,7 @@
     pub longest: u32,
 }
 
-/// Options of the load tool.
+/// Options of the load generator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadOptions {
--- a/crates/clementinepond_standin/src/load/load_report.rs
+++ b/crates/clementinepond_standin/src/load/load_report.rs
@@ -30,8 +30,8 @@
     pub answered: u64,
     /// Number of answers that differ from the expected one.
     pub wrong: u64,
-    /// Number of answers that began and are not complete: the connection broke, or
-    /// the token usage or, in a stream, `[DONE]` is missing.
+    /// Number of answers that began and are not complete: the connection broke,
+    /// or the token usage or, in a stream, `[DONE]` is missing.
     pub incomplete: u64,
     /// Number of requests that failed before an answer began, including those
     /// that could not be built.
--- a/crates/clementinepond_standin/src/platform/mod.rs
+++ b/crates/clementinepond_standin/src/platform/mod.rs
@@ -1,9 +1,9 @@
 //! Stand-in for the platform's object API.
 //!
-//! An [`ObjectStore`](object_store) keeps versioned objects in memory; a watch
-//! waits until an object of its kind changes. Faults can be changed while the
-//! platform runs: outages, delays, calls lost before or after they take effect,
-//! and a frozen list of VMs. The list of VMs can also lag.
+//! It keeps versioned objects in memory; a watch waits until an object of its
+//! kind changes. Faults can be changed while the platform runs: outages, delays,
+//! calls lost before or after they take effect, and a frozen list of VMs. The
+//! list of VMs can also lag.
 
 mod call_rate_limiter;
 mod handler;
