--- a/crates/clementinepond_standin/src/engine/answer_shape.rs
+++ b/crates/clementinepond_standin/src/engine/answer_envelope.rs
@@ -1,14 +1,15 @@
-//! JSON forms of answers and chunks.
+//! JSON encoding of answers and stream chunks in the format of the OpenAI API.
 
-use super::serve_request::ServeForm;
+use super::completion_request::CompletionApi;
 use bytes::Bytes;
 use serde::Serialize;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Last event of a whole stream.
+/// Last event of a complete stream.
 pub(super) const STREAM_END: Bytes = Bytes::from_static(b"data: [DONE]\n\n");
 
-/// Reason for which an answer ends.
+/// Reason why an answer ended: `Stop` at its own length, `Length` at the token
+/// limit of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum FinishReason {
@@ -34,17 +35,17 @@
     }
 }
 
-/// End of an answer.
+/// Fields that only the last chunk or a complete answer contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AnswerEnd {
     pub(super) reason: FinishReason,
     pub(super) usage: TokenUsage,
 }
 
-/// What stays the same in all chunks of one answer.
+/// Fields that are identical in all chunks of one answer.
 #[derive(Debug, Clone)]
-pub(super) struct AnswerShape {
-    pub(super) form: ServeForm,
+pub(super) struct AnswerEnvelope {
+    pub(super) api: CompletionApi,
     pub(super) id: Box<str>,
     pub(super) model: Box<str>,
     pub(super) created: u64,
@@ -92,23 +93,24 @@
     finish_reason: Option<FinishReason>,
 }
 
-impl AnswerShape {
-    pub(super) fn new(form: ServeForm, id: &str, model: &str) -> Self {
+impl AnswerEnvelope {
+    pub(super) fn new(api: CompletionApi, id: &str, model: &str) -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
-            form,
+            api,
             id: id.into(),
             model: model.into(),
             created: since.map_or(0, |time| time.as_secs()),
         }
     }
 
-    /// Returns one event of a stream.
+    /// Returns one server-sent event; `first` is whether it is the first of its
+    /// stream, and `end` is set on the last one.
     pub(super) fn chunk(&self, first: bool, text: &str, end: Option<AnswerEnd>) -> Bytes {
         let finish_reason = end.map(|end| end.reason);
         let usage = end.map(|end| end.usage);
-        let json = match self.form {
-            ServeForm::Completion => {
+        let json = match self.api {
+            CompletionApi::Completion => {
                 let choice = TextChoice {
                     index: 0,
                     text,
@@ -117,7 +119,7 @@
                 };
                 self.body("text_completion", choice, usage)
             }
-            ServeForm::Chat => {
+            CompletionApi::Chat => {
                 let choice = DeltaChoice {
                     index: 0,
                     delta: ChatMessage {
@@ -133,11 +135,11 @@
         [b"data: ".as_slice(), &json, b"\n\n"].concat().into()
     }
 
-    /// Returns a whole answer.
-    pub(super) fn whole(&self, text: &str, end: AnswerEnd) -> Vec<u8> {
+    /// Returns the JSON body of a complete answer.
+    pub(super) fn complete(&self, text: &str, end: AnswerEnd) -> Vec<u8> {
         let finish_reason = Some(end.reason);
-        match self.form {
-            ServeForm::Completion => {
+        match self.api {
+            CompletionApi::Completion => {
                 let choice = TextChoice {
                     index: 0,
                     text,
@@ -146,7 +148,7 @@
                 };
                 self.body("text_completion", choice, Some(end.usage))
             }
-            ServeForm::Chat => {
+            CompletionApi::Chat => {
                 let choice = ChatChoice {
                     index: 0,
                     message: ChatMessage {
--- a/crates/clementinepond_standin/src/engine/serve_request.rs
+++ b/crates/clementinepond_standin/src/engine/completion_request.rs
@@ -1,25 +1,25 @@
-//! A completion request, read from a call.
+//! Parsing of completion requests.
 
 use crate::network::HttpCall;
 use serde::Deserialize;
 use uuid::Uuid;
 
-/// Generated tokens when the request does not limit them.
+/// Token limit of a request that sets none: only the answer length applies.
 const DEFAULT_TOKEN_LIMIT: u32 = u32::MAX;
 
-/// Form of the request and its answer.
+/// API that determines the format of a request and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ServeForm {
+pub(super) enum CompletionApi {
     /// `/v1/completions`.
     Completion,
     /// `/v1/chat/completions`.
     Chat,
 }
 
-/// A completion request.
+/// Parsed completion request.
 #[derive(Debug, Clone)]
-pub(super) struct ServeRequest {
-    pub(super) form: ServeForm,
+pub(super) struct CompletionRequest {
+    pub(super) api: CompletionApi,
     pub(super) id: Box<str>,
     pub(super) model: Box<str>,
     pub(super) prompt: Box<str>,
@@ -73,20 +73,24 @@
     text: String,
 }
 
-impl ServeRequest {
-    /// Reads a request; the error says what is wrong with the body.
-    pub(super) fn read(form: ServeForm, call: &HttpCall) -> Result<Self, String> {
+impl CompletionRequest {
+    /// Parses a request; the error describes what is invalid in the body.
+    pub(super) fn parse(api: CompletionApi, call: &HttpCall) -> Result<Self, String> {
         let body = serde_json::from_slice::<RequestBody>(&call.body);
-        let body = body.map_err(|error| format!("{error}; send a body in the usual form"))?;
-        let prompt = match form {
-            ServeForm::Completion => body.prompt.map_or_else(String::new, join_prompt),
-            ServeForm::Chat => chat_prompt(&body.messages),
+        let body = body.map_err(|error| {
+            format!(
+                "invalid body: {error}; send a completion request in the format of the OpenAI API"
+            )
+        })?;
+        let prompt = match api {
+            CompletionApi::Completion => body.prompt.map_or_else(String::new, join_prompt),
+            CompletionApi::Chat => chat_prompt(&body.messages),
         };
         let id = call.header("x-request-id");
         let priority = call.header("x-priority").and_then(|text| text.parse().ok());
         let token_limit = body.max_completion_tokens.or(body.max_tokens);
         Ok(Self {
-            form,
+            api,
             id: id.map_or_else(|| Uuid::new_v4().to_string().into(), Into::into),
             model: body.model,
             prompt: prompt.into(),
@@ -105,7 +109,7 @@
     }
 }
 
-/// Joins the messages of a chat: role, line feed, content, line feed.
+/// Joins the messages of a chat, each as role, line feed, content, line feed.
 fn chat_prompt(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
     for message in messages {
--- a/crates/clementinepond_standin/src/fault/mod.rs
+++ b/crates/clementinepond_standin/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! How often a fault strikes.
+//! Rates at which faults are injected.
 
 mod fault_rate;
 
