--- a/crates/clementinepond_decide/src/crash/arbiter.rs
+++ b/crates/clementinepond_decide/src/crash/arbiter.rs
@@ -17,7 +17,7 @@
 struct PermitEntry {
     fingerprint: RequestFingerprint,
     endpoint: EndpointId,
-    is_likely: bool,
+    is_likely_culprit: bool,
     expiry: LocalTime,
 }
 
@@ -56,7 +56,7 @@
         &self,
         fingerprint: RequestFingerprint,
         candidates: &[EndpointId],
-        is_likely: bool,
+        is_likely_culprit: bool,
         crashes: impl Fn(&EndpointId) -> usize,
         settings: &CrashSettings,
     ) -> Option<EndpointId> {
@@ -68,18 +68,18 @@
             return None;
         }
         let fewest = candidates.iter().map(&crashes).min()?;
-        let is_taken = |endpoint: &EndpointId| {
-            let here = || {
+        let is_occupied = |endpoint: &EndpointId| {
+            let permits_here = || {
                 self.permits
                     .values()
                     .filter(|permit| permit.endpoint == *endpoint)
             };
-            let limit = if is_likely { 1 } else { settings.group_limit };
-            here().count() >= limit || here().any(|permit| permit.is_likely)
+            let limit = if is_likely_culprit { 1 } else { settings.group_limit };
+            permits_here().count() >= limit || permits_here().any(|permit| permit.is_likely_culprit)
         };
         candidates
             .iter()
-            .filter(|endpoint| !is_taken(endpoint))
+            .filter(|endpoint| !is_occupied(endpoint))
             .filter(|endpoint| crashes(endpoint) < fewest + settings.flaky_limit)
             .min_by_key(|endpoint| crashes(endpoint))
             .cloned()
@@ -91,14 +91,14 @@
         key: RunKey,
         fingerprint: RequestFingerprint,
         endpoint: EndpointId,
-        is_likely: bool,
+        is_likely_culprit: bool,
         expiry: LocalTime,
     ) {
         self.waiters.remove(&key);
         let permit = PermitEntry {
             fingerprint,
             endpoint,
-            is_likely,
+            is_likely_culprit,
             expiry,
         };
         self.permits.insert(key, permit);
--- a/crates/clementinepond_decide/src/crash/guard.rs
+++ b/crates/clementinepond_decide/src/crash/guard.rs
@@ -43,14 +43,14 @@
 
 /// Clears a request of its losses and queues the change for broadcast.
 fn clear(state: &mut CrashState, fingerprint: RequestFingerprint, now: LocalTime) {
-    let open = state.suspects.uncleared_losses(fingerprint);
-    if open.is_empty() {
+    let uncleared = state.suspects.uncleared_losses(fingerprint);
+    if uncleared.is_empty() {
         return;
     }
     state
         .suspects
-        .clear(fingerprint, &open, &state.settings, now);
-    let reports = open.into_iter().map(|loss| SuspectReport {
+        .clear(fingerprint, &uncleared, &state.settings, now);
+    let reports = uncleared.into_iter().map(|loss| SuspectReport {
         fingerprint,
         loss,
         evidence: 0,
@@ -277,25 +277,25 @@
     verdicts: Vec<Verdict>,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    let mut touched = Vec::new();
+    let mut affected = Vec::new();
     for report in suspects {
         merge_suspect(state, &report, now);
-        touched.push(report.fingerprint);
+        affected.push(report.fingerprint);
     }
     for report in losses {
         state.losses.merge(&report.loss, report.status, now);
         if report.status == LossStatus::Alive {
             state.suspects.forget_loss(&report.loss);
         }
-        touched.extend(state.suspects.suspects_of(&report.loss));
+        affected.extend(state.suspects.suspects_of(&report.loss));
     }
     let queued = state.updates.verdicts.len();
     let mut effects = merge_verdicts(state, &verdicts, now);
     // The VM that issued a verdict sends it to every VM, so it is not sent on.
     state.updates.verdicts.truncate(queued);
-    touched.sort_unstable();
-    touched.dedup();
-    effects.extend(evaluate(state, &touched, now));
+    affected.sort_unstable();
+    affected.dedup();
+    effects.extend(evaluate(state, &affected, now));
     effects
 }
 
--- a/crates/clementinepond_decide/src/crash/permit.rs
+++ b/crates/clementinepond_decide/src/crash/permit.rs
@@ -89,8 +89,8 @@
             .reports(&state.suspects.uncleared_losses(fingerprint)),
         time_left: now.until(run.stage.deadline),
     };
-    let alone = now >= run.stage.arbiter_deadline;
-    let to = if alone {
+    let decides_alone = now >= run.stage.arbiter_deadline;
+    let to = if decides_alone {
         state.vm.clone()
     } else {
         state.arbiter()
@@ -145,19 +145,19 @@
         SuspectStatus::Suspect => {}
     }
     let (losses, settings) = (&state.losses, &state.settings);
-    if !state.suspects.is_settled(fingerprint, settings, now) {
+    if !state.suspects.is_report_wait_over(fingerprint, settings, now) {
         return PermitReply::Wait;
     }
     let crashes = |endpoint: &EndpointId| losses.unexplained_crashes(endpoint);
-    let is_likely = state.suspects.is_likely(fingerprint, losses, settings);
-    let answering: Vec<EndpointId> = candidates
+    let is_likely_culprit = state.suspects.is_likely_culprit(fingerprint, losses, settings);
+    let without_pending_loss: Vec<EndpointId> = candidates
         .iter()
         .filter(|endpoint| losses.pending_at(endpoint).is_empty())
         .cloned()
         .collect();
     let chosen = state
         .permits
-        .choose(fingerprint, &answering, is_likely, crashes, settings);
+        .choose(fingerprint, &without_pending_loss, is_likely_culprit, crashes, settings);
     let Some(endpoint) = chosen else {
         return PermitReply::Wait;
     };
@@ -166,7 +166,7 @@
         key.clone(),
         fingerprint,
         endpoint.clone(),
-        is_likely,
+        is_likely_culprit,
         expiry,
     );
     PermitReply::Run(endpoint)
@@ -182,7 +182,7 @@
         let fingerprint = waiter.fingerprint;
         !state
             .suspects
-            .is_likely(fingerprint, &state.losses, &state.settings)
+            .is_likely_culprit(fingerprint, &state.losses, &state.settings)
     });
     for (key, waiter) in waiting {
         let reply = decide(state, &key, waiter.fingerprint, &waiter.candidates, now);
@@ -349,12 +349,12 @@
 ) -> Vec<CrashEffect> {
     let key = RunKey { vm: from, ticket };
     let expiry = now + state.settings.permit_limit;
-    let is_likely = state
+    let is_likely_culprit = state
         .suspects
-        .is_likely(fingerprint, &state.losses, &state.settings);
+        .is_likely_culprit(fingerprint, &state.losses, &state.settings);
     state
         .permits
-        .insert(key, fingerprint, endpoint, is_likely, expiry);
+        .insert(key, fingerprint, endpoint, is_likely_culprit, expiry);
     Vec::new()
 }
 
@@ -374,12 +374,12 @@
     ticket: CrashTicket,
     fingerprint: Option<RequestFingerprint>,
 ) -> CrashMessage {
-    let suspects = fingerprint.map_or_else(Vec::new, |one| state.suspects.reports(one));
-    let open = fingerprint.map_or_else(Vec::new, |one| state.suspects.uncleared_losses(one));
+    let suspects = fingerprint.map_or_else(Vec::new, |fingerprint| state.suspects.reports(fingerprint));
+    let uncleared = fingerprint.map_or_else(Vec::new, |fingerprint| state.suspects.uncleared_losses(fingerprint));
     CrashMessage::RunEnded {
         ticket,
         suspects,
-        losses: state.losses.reports(&open),
+        losses: state.losses.reports(&uncleared),
     }
 }
 
@@ -387,12 +387,12 @@
 pub(crate) fn end_run(state: &mut CrashState, ticket: CrashTicket) -> Vec<CrashEffect> {
     let run = state.runs.remove(&ticket);
     let fingerprint = run.as_ref().map(RunEntry::fingerprint);
-    let counted = match run {
+    let is_known_to_arbiter = match run {
         None => false,
         Some(RunEntry::InFlight(run)) => run.stage.is_registered,
         Some(RunEntry::Waiting(_) | RunEntry::Permitted(_)) => true,
     };
-    if !counted {
+    if !is_known_to_arbiter {
         return Vec::new();
     }
     state.updates.occupied_changed = true;
--- a/crates/clementinepond_decide/src/crash/suspect.rs
+++ b/crates/clementinepond_decide/src/crash/suspect.rs
@@ -136,8 +136,8 @@
         self.entries
             .get(&fingerprint)
             .map_or_else(Vec::new, |entry| {
-                let open = entry.losses.iter().filter(|(_, record)| !record.cleared);
-                open.map(|(loss, _)| loss.clone()).collect()
+                let uncleared = entry.losses.iter().filter(|(_, record)| !record.cleared);
+                uncleared.map(|(loss, _)| loss.clone()).collect()
             })
     }
 
@@ -172,7 +172,7 @@
 
     /// Returns whether other VMs had time to report runs of a request, which is
     /// `report_wait` after the first loss.
-    pub(crate) fn is_settled(
+    pub(crate) fn is_report_wait_over(
         &self,
         fingerprint: RequestFingerprint,
         settings: &CrashSettings,
@@ -184,7 +184,7 @@
 
     /// Returns whether a request is a likely culprit: it had run for less than
     /// `fresh_limit` at a loss that no blocked request explains.
-    pub(crate) fn is_likely(
+    pub(crate) fn is_likely_culprit(
         &self,
         fingerprint: RequestFingerprint,
         losses: &LossTable,
--- a/crates/clementinepond_decide/src/crash/verdict.rs
+++ b/crates/clementinepond_decide/src/crash/verdict.rs
@@ -126,7 +126,7 @@
         now: LocalTime,
     ) -> bool {
         let time_left = verdict.time_left.min(settings.verdict_lifetime);
-        let new = VerdictEntry {
+        let candidate = VerdictEntry {
             round: verdict.round,
             released: verdict.released,
             lost: verdict.lost,
@@ -134,15 +134,15 @@
             refused_calls: 0,
         };
         let known = self.entries.get(&verdict.fingerprint);
-        let is_older = known.is_some_and(|known| known.order() >= new.order());
+        let is_older = known.is_some_and(|known| known.order() >= candidate.order());
         if is_older && settings.mutation != CrashMutation::ForgetRelease {
             return false;
         }
-        self.entries.insert(verdict.fingerprint, new);
+        self.entries.insert(verdict.fingerprint, candidate);
         if self.entries.len() > settings.verdict_limit {
-            let first = self.entries.iter().min_by_key(|(_, entry)| entry.expiry);
-            if let Some(first) = first.map(|(fingerprint, _)| *fingerprint) {
-                self.entries.remove(&first);
+            let expiring_first = self.entries.iter().min_by_key(|(_, entry)| entry.expiry);
+            if let Some(fingerprint) = expiring_first.map(|(fingerprint, _)| *fingerprint) {
+                self.entries.remove(&fingerprint);
             }
         }
         true
--- a/crates/clementinepond_decide/src/crash/verdict_store.rs
+++ b/crates/clementinepond_decide/src/crash/verdict_store.rs
@@ -18,7 +18,7 @@
         return Vec::new();
     }
     if !state.store.loaded {
-        return call(state, CrashEffect::Read, now);
+        return start_call(state, CrashEffect::Read, now);
     }
     if !state.store.dirty || state.arbiter() != state.vm {
         return Vec::new();
@@ -26,10 +26,10 @@
     state.store.dirty = false;
     let object = VerdictObject::new(state.vm.clone(), state.verdicts.all(now));
     let expected = state.store.version;
-    call(state, CrashEffect::Store { expected, object }, now)
+    start_call(state, CrashEffect::Store { expected, object }, now)
 }
 
-fn call(state: &mut CrashState, effect: CrashEffect, now: LocalTime) -> Vec<CrashEffect> {
+fn start_call(state: &mut CrashState, effect: CrashEffect, now: LocalTime) -> Vec<CrashEffect> {
     state.store.in_flight = true;
     state.store.next_call = now + state.settings.store_gap;
     vec![effect]
@@ -50,7 +50,7 @@
         StoreReply::Conflict(found) => {
             state.store.dirty = true;
             state.store.version = None;
-            found.map_or_else(Vec::new, |found| loaded(state, found, now))
+            found.map_or_else(Vec::new, |found| merge_found(state, found, now))
         }
         StoreReply::Unknown => {
             // Another read shows whether the write took effect; verdicts can be
@@ -72,7 +72,7 @@
     match reply {
         ReadReply::Found(found) => {
             state.store.loaded = true;
-            loaded(state, found, now)
+            merge_found(state, found, now)
         }
         ReadReply::Missing => {
             state.store.loaded = true;
@@ -83,7 +83,7 @@
     }
 }
 
-fn loaded(
+fn merge_found(
     state: &mut CrashState,
     found: VersionedObject<VerdictObject>,
     now: LocalTime,
--- a/crates/clementinepond_decide/src/limit/part_loan.rs
+++ b/crates/clementinepond_decide/src/limit/part_loan.rs
@@ -63,7 +63,7 @@
 pub(super) fn reassign_owners(state: &mut LimitState) {
     state.rights.prune_rosters();
     for account in state.accounts.values_mut() {
-        state.rights.locate(account);
+        state.rights.assign_owners(account);
         account.round = RequestRound::default();
     }
     let members: Vec<VmId> = match state.rights.members() {
@@ -74,7 +74,7 @@
     let remote = &state.remote;
     state
         .peers
-        .retain(|vm| members.contains(vm) || remote.iter().any(|l| l.iter().any(|m| m == vm)));
+        .retain(|vm| members.contains(vm) || remote.iter().any(|list| list.iter().any(|member| member == vm)));
     for member in members {
         if member != state.rights.vm {
             state.polls.entry(member).or_default();
@@ -111,7 +111,7 @@
         kept: BTreeMap::new(),
         deadline: now + span,
     };
-    lent.kept = capacity_of_running(state, &lent, now);
+    lent.kept = committed_capacity(state, &lent, now);
     let loan = PartLoan {
         number: poll.number,
         rosters: lent.rosters.clone(),
@@ -179,7 +179,7 @@
 
 /// Returns the capacity that running requests and token loans still need, by
 /// account.
-fn capacity_of_running(
+fn committed_capacity(
     state: &mut LimitState,
     lent: &LentParts,
     now: LocalTime,
@@ -218,14 +218,14 @@
     let index = state.rights.lent.len() - 1;
     let borrower = state.rights.lent[index].borrower.clone();
     let rosters = state.rights.lent[index].rosters.clone();
-    let probe = LentParts {
+    let coverage = LentParts {
         borrower,
         rosters,
         number: state.rights.lent[index].number,
         kept: BTreeMap::new(),
         deadline: now,
     };
-    state.resize_where(now, |account| probe.covers(account));
+    state.resize_where(now, |account| coverage.covers(account));
 }
 
 /// Starts to use a loan of another VM's parts.
--- a/crates/clementinepond_decide/src/limit/periodic.rs
+++ b/crates/clementinepond_decide/src/limit/periodic.rs
@@ -34,17 +34,17 @@
 
 fn report_all(state: &mut LimitState, now: LocalTime, outbox: &mut EffectOutbox) {
     let half = state.token_loan_lifetime().fraction(1, 2);
-    let ids: Vec<AccountId> = state.channels.iter().cloned().collect();
+    let ids: Vec<AccountId> = state.channel_accounts.iter().cloned().collect();
     for id in ids {
         let Some(account) = state.accounts.get_mut(&id) else {
             continue;
         };
         account.advance(now, &state.settings);
         drop_unanswered(account, now, &state.settings);
-        let most = returnable(&id, account, &state.rights, &state.settings);
-        let due = return_unused(account, &most, half, now);
+        let returnable = returnable_capacity(&id, account, &state.rights, &state.settings);
+        let due = return_unused(account, &returnable, half, now);
         if account.has_no_channels() {
-            state.channels.remove(&id);
+            state.channel_accounts.remove(&id);
         }
         for (peer, is_answered) in due {
             if is_answered {
@@ -63,7 +63,7 @@
 
 /// Returns how much capacity each channel may return without leaving token
 /// loans of this VM to others unbacked.
-fn returnable(
+fn returnable_capacity(
     id: &AccountId,
     account: &AccountState,
     rights: &PartRights,
@@ -89,7 +89,7 @@
 /// each of them will answer.
 fn return_unused(
     account: &mut AccountState,
-    most: &BTreeMap<VmId, TokenCount>,
+    returnable: &BTreeMap<VmId, TokenCount>,
     half: TimeSpan,
     now: LocalTime,
 ) -> Vec<(VmId, bool)> {
@@ -98,8 +98,8 @@
     let bucket = &mut account.bucket;
     let mut returned = TokenCount::ZERO;
     for (peer, channel) in &mut account.borrowed {
-        let most = most.get(peer).copied().unwrap_or_default();
-        let left = most.saturating_sub(returned);
+        let limit = returnable.get(peer).copied().unwrap_or_default();
+        let left = limit.saturating_sub(returned);
         let capacity = channel.outstanding().min(bucket.free_capacity()).min(left);
         let level = if is_idle {
             bucket
--- a/crates/clementinepond_decide/src/limit/reduce.rs
+++ b/crates/clementinepond_decide/src/limit/reduce.rs
@@ -126,7 +126,7 @@
     for (id, limit) in table.limits {
         let account = state.accounts.entry(id.clone()).or_insert_with(|| {
             let mut account = super::account::AccountState::new(&id, now);
-            state.rights.locate(&mut account);
+            state.rights.assign_owners(&mut account);
             account
         });
         account.limit = Some(limit);
--- a/crates/clementinepond_decide/src/limit/serve.rs
+++ b/crates/clementinepond_decide/src/limit/serve.rs
@@ -26,7 +26,7 @@
     now: LocalTime,
     outbox: &mut EffectOutbox,
 ) {
-    refuse_withdrawn(state, id, outbox);
+    refuse_inactive(state, id, outbox);
     refuse_expired(state, id, now, outbox);
     grant_in_order(state, id, now, outbox);
     upstream::request_tokens(state, id, now, outbox);
@@ -133,7 +133,7 @@
     }
 }
 
-fn refuse_withdrawn(state: &mut LimitState, id: &AccountId, outbox: &mut EffectOutbox) {
+fn refuse_inactive(state: &mut LimitState, id: &AccountId, outbox: &mut EffectOutbox) {
     let Some(account) = state.accounts.get_mut(id) else {
         return;
     };
--- a/crates/clementinepond_decide/src/limit/settings.rs
+++ b/crates/clementinepond_decide/src/limit/settings.rs
@@ -8,7 +8,7 @@
 
 /// Divisor of the member count; the quotient is how many members may have left
 /// since a grant was made.
-const SHRINK_MARGIN: usize = 4;
+const SHRINK_MARGIN_DIVISOR: usize = 4;
 
 /// Safety check that a test disables to show that it is needed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -156,7 +156,7 @@
     /// data centre may have shrunk by a fifth since the grant was made.
     #[must_use]
     pub fn longest_grant_lifetime(&self, members: usize) -> TimeSpan {
-        let earlier = members.saturating_add(members / SHRINK_MARGIN);
+        let earlier = members.saturating_add(members / SHRINK_MARGIN_DIVISOR);
         let longest = self.part_loan_lifetime(earlier);
         longest + longest.fraction(2 * self.clock_drift_ppm, MILLION)
     }
--- a/crates/clementinepond_decide/src/limit/slice.rs
+++ b/crates/clementinepond_decide/src/limit/slice.rs
@@ -106,7 +106,7 @@
     }
 
     /// Determines the account's owner under each member list in use.
-    pub(super) fn locate(&self, account: &mut AccountState) {
+    pub(super) fn assign_owners(&self, account: &mut AccountState) {
         account.owners = self
             .rosters
             .iter()
@@ -145,7 +145,7 @@
         let Some(limit) = account.limit else {
             return SliceSize::default();
         };
-        let (mut fraction, kept) = self.own(id, account, limit, settings);
+        let (mut fraction, kept) = self.own_slice(id, account, limit, settings);
         let mut withheld = TokenCount::ZERO;
         for loan in self.borrowed.values() {
             if loan.covers(&self.vm, account) {
@@ -159,7 +159,7 @@
         }
     }
 
-    fn own(
+    fn own_slice(
         &self,
         id: &AccountId,
         account: &AccountState,
@@ -200,7 +200,7 @@
         let Some(limit) = account.limit else {
             return LocalTime::ORIGIN;
         };
-        let (mut fraction, kept) = self.own(id, account, limit, settings);
+        let (mut fraction, kept) = self.own_slice(id, account, limit, settings);
         let mut tokens = kept;
         let mut withheld = TokenCount::ZERO;
         let mut reached = LocalTime::NEVER;
@@ -230,7 +230,7 @@
         let Some(limit) = account.limit else {
             return TokenCount::ZERO;
         };
-        let (mut fraction, mut tokens) = self.own(id, account, limit, settings);
+        let (mut fraction, mut tokens) = self.own_slice(id, account, limit, settings);
         let mut withheld = TokenCount::ZERO;
         for piece in self.pieces(id, account) {
             if piece.deadline >= time {
--- a/crates/clementinepond_decide/src/limit/state.rs
+++ b/crates/clementinepond_decide/src/limit/state.rs
@@ -94,7 +94,7 @@
     /// Accounts with waiting requests.
     pub(super) waiting_accounts: BTreeSet<AccountId>,
     /// Accounts with token loan channels.
-    pub(super) channels: BTreeSet<AccountId>,
+    pub(super) channel_accounts: BTreeSet<AccountId>,
     pub(super) peers: PeerTable,
     pub(super) polls: BTreeMap<VmId, PollState>,
     /// Time of the next returns and renewals of token loans.
@@ -120,7 +120,7 @@
             accounts: BTreeMap::new(),
             tickets: BTreeMap::new(),
             waiting_accounts: BTreeSet::new(),
-            channels: BTreeSet::new(),
+            channel_accounts: BTreeSet::new(),
             peers: PeerTable::default(),
             polls: BTreeMap::new(),
             report_at: LocalTime::ORIGIN,
--- a/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
+++ b/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
@@ -50,7 +50,7 @@
         lent.number = report.number;
         lent.wants_tokens = report.want > TokenCount::ZERO;
     }
-    state.channels.insert(id.clone());
+    state.channel_accounts.insert(id.clone());
     if is_newer {
         replace_requests(state, from, &report, is_queueing && is_requesting, now);
     }
--- a/crates/clementinepond_decide/src/limit/upstream.rs
+++ b/crates/clementinepond_decide/src/limit/upstream.rs
@@ -200,7 +200,7 @@
             .entry(to.clone())
             .or_insert_with(|| BorrowedChannel::new(fresh, now));
     }
-    state.channels.insert(id.clone());
+    state.channel_accounts.insert(id.clone());
     state.peers.record_request(to, now, &state.settings);
     outbox.report(to, id);
 }
--- a/crates/clementinepond_decide/src/roster/exchange.rs
+++ b/crates/clementinepond_decide/src/roster/exchange.rs
@@ -239,11 +239,11 @@
 }
 
 fn acknowledge(state: &mut RosterState, from: &VmId, number: u64, is_current: bool) {
-    let is_ours = state
+    let is_awaited = state
         .probes
         .get(&number)
         .is_some_and(|sent| sent.to == *from);
-    if !is_ours {
+    if !is_awaited {
         return;
     }
     if let Some(sent) = state.probes.remove(&number)
--- a/crates/clementinepond_decide/src/roster/plan.rs
+++ b/crates/clementinepond_decide/src/roster/plan.rs
@@ -6,7 +6,7 @@
 //! restore a missing table.
 
 use super::assign::{assign_unheld, parts_after_release};
-use super::share::plan_share;
+use super::share::plan_own_share;
 use super::state::PartRelease;
 use super::{
     JoinRequest, MembershipStage, RosterMember, RosterMutation, RosterState, RosterTable,
@@ -28,7 +28,7 @@
     if state.relay {
         add_joiners(state, &mut table, now);
         remove_gone(state, &mut table, now);
-        plan_share(state, &mut table);
+        plan_own_share(state, &mut table);
     }
     distribute_unheld(state, &mut table, now);
     let is_changed = known.as_ref() != Some(&table);
--- a/crates/clementinepond_decide/src/roster/reduce.rs
+++ b/crates/clementinepond_decide/src/roster/reduce.rs
@@ -91,13 +91,13 @@
         None => (0, None),
     };
     let is_changed = before.is_none_or(|before| before.parts != parts || before.share != share);
-    let is_later = before.is_some_and(|before| {
+    let is_deadline_or_epoch_changed = before.is_some_and(|before| {
         before.epoch != epoch
             || deadline < before.deadline
             || before.deadline + state.settings.heartbeat_period <= deadline
                 && before.deadline != deadline
     });
-    if !is_changed && !is_later {
+    if !is_changed && !is_deadline_or_epoch_changed {
         return;
     }
     let usable = UsableParts {
--- a/crates/clementinepond_decide/src/roster/share.rs
+++ b/crates/clementinepond_decide/src/roster/share.rs
@@ -36,7 +36,7 @@
 }
 
 /// Plans the change of the share in the own table.
-pub(super) fn plan_share(state: &RosterState, table: &mut RosterTable) {
+pub(super) fn plan_own_share(state: &RosterState, table: &mut RosterTable) {
     let (Some(target), Some(shares)) = (state.share_target, &state.shares) else {
         return;
     };
@@ -77,7 +77,7 @@
         return;
     }
     let until = now + state.settings.answer_limit;
-    match plan_shares(state) {
+    match plan_fleet_shares(state) {
         Some(table) => {
             effects.push(RosterEffect::StoreShares {
                 if_version: shares_version(state),
@@ -113,7 +113,7 @@
     fleet == Some(target) && table.share == target && !table.share_releasing
 }
 
-fn plan_shares(state: &mut RosterState) -> Option<ShareTable> {
+fn plan_fleet_shares(state: &mut RosterState) -> Option<ShareTable> {
     let target = state.share_target?;
     let table = state.own_table()?.value.clone();
     let data_centre = table.data_centre.clone();
@@ -152,7 +152,7 @@
 
 /// Applies the answer to a read.
 pub(super) fn shares_read(state: &mut RosterState, reply: ReadReply<ShareTable>, now: LocalTime) {
-    let found = match reply {
+    let is_updated = match reply {
         ReadReply::Found(object) => {
             state.shares_missing = false;
             adopt_shares(state, object)
@@ -163,7 +163,7 @@
         }
         ReadReply::Unavailable => false,
     };
-    end_call(state, found, now);
+    end_call(state, is_updated, now);
 }
 
 /// Applies the answer to an update.
@@ -172,7 +172,7 @@
     reply: StoreReply<ShareTable>,
     now: LocalTime,
 ) {
-    let found = match (reply, &state.share_call) {
+    let is_updated = match (reply, &state.share_call) {
         (StoreReply::Stored { version }, ShareCall::Storing { table, .. }) => {
             let object = VersionedObject {
                 version,
@@ -185,7 +185,7 @@
         // of the two takes effect; its conflict brings the newer table.
         _ => false,
     };
-    end_call(state, found, now);
+    end_call(state, is_updated, now);
 }
 
 fn end_call(state: &mut RosterState, is_updated: bool, now: LocalTime) {
