--- a/crates/clementinepond_decide/src/crash/arbiter.rs
+++ b/crates/clementinepond_decide/src/crash/arbiter.rs
@@ -1,5 +1,4 @@
-//! Table of the permits that a VM granted to suspects, and of the runs that
-//! wait for one.
+//! Permits that a VM granted to suspects, and the runs that wait for one.
 
 use super::identity::{CrashTicket, RequestFingerprint};
 use super::settings::{CrashMutation, CrashSettings};
@@ -45,13 +44,11 @@
 
     /// Chooses the available endpoint with the fewest unexplained crashes.
     ///
-    /// A likely culprit runs without other suspects; up to `group_limit` less
-    /// likely ones may share an endpoint. A request that already has a permit
-    /// gets no second one.
-    ///
-    /// An endpoint with at least `flaky_limit` more crashes than the best
-    /// candidate is not used, since its next crash would count against the
-    /// suspect.
+    /// Returns `None` if no endpoint is available or if a run of the same request
+    /// already has a permit. A likely culprit runs without other suspects; up to
+    /// `group_limit` less likely ones may share an endpoint. An endpoint with at
+    /// least `flaky_limit` more crashes than the best candidate is not used, since
+    /// its next crash would count against the suspect.
     pub(crate) fn choose(
         &self,
         fingerprint: RequestFingerprint,
@@ -74,7 +71,11 @@
                     .values()
                     .filter(|permit| permit.endpoint == *endpoint)
             };
-            let limit = if is_likely_culprit { 1 } else { settings.group_limit };
+            let limit = if is_likely_culprit {
+                1
+            } else {
+                settings.group_limit
+            };
             permits_here().count() >= limit || permits_here().any(|permit| permit.is_likely_culprit)
         };
         candidates
@@ -85,7 +86,8 @@
             .cloned()
     }
 
-    /// Records that a run occupies an endpoint until the permit expires.
+    /// Records a permit, which occupies the endpoint until it expires, and removes the
+    /// run's queue entry.
     pub(crate) fn insert(
         &mut self,
         key: RunKey,
@@ -104,7 +106,7 @@
         self.permits.insert(key, permit);
     }
 
-    /// Queues a run; a repeated request keeps its place in the queue.
+    /// Queues a run; a run that is queued already keeps its place.
     pub(crate) fn enqueue(
         &mut self,
         key: RunKey,
--- a/crates/clementinepond_decide/src/crash/completion.rs
+++ b/crates/clementinepond_decide/src/crash/completion.rs
@@ -1,8 +1,8 @@
-//! Recently completed runs, kept as credits against later losses.
+//! Recently completed runs, which clear their request of later losses.
 //!
-//! Each completed run clears its request of one later loss, up to
-//! `sound_credits` losses. The number is bounded because a new model version
-//! may make a harmless request crash.
+//! Each completed run adds one credit to its request, up to `sound_credits`; each
+//! later loss that the request is cleared of consumes one. The number is bounded
+//! because a new model version may make a harmless request crash its endpoint.
 
 use super::identity::RequestFingerprint;
 use super::settings::CrashSettings;
@@ -15,7 +15,7 @@
     credits: usize,
 }
 
-/// Credits of completed runs that no loss has consumed yet.
+/// Credits of completed runs, by request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CompletionTable {
     entries: BTreeMap<RequestFingerprint, CompletionEntry>,
--- a/crates/clementinepond_decide/src/crash/effect.rs
+++ b/crates/clementinepond_decide/src/crash/effect.rs
@@ -32,15 +32,16 @@
         /// Endpoints where suspects run; to be used only when no other is available.
         avoid: Vec<EndpointId>,
     },
-    /// The run may be sent to this endpoint only.
+    /// The run may be sent to this endpoint only, which less likely culprits may share.
     RunAlone {
         /// Ticket of the run.
         ticket: CrashTicket,
         /// Endpoint that the permit is for.
         endpoint: EndpointId,
     },
-    /// The run has to wait; `Pass`, `RunAlone` or `Refused` follows, the
-    /// latter at the first tick from its deadline on.
+    /// The run has to wait; `Pass`, `RunAlone` or `Refused` follows unless the run ends
+    /// before. A run without a permit is refused at the first tick at or after its
+    /// deadline.
     Wait {
         /// Ticket of the run.
         ticket: CrashTicket,
--- a/crates/clementinepond_decide/src/crash/event.rs
+++ b/crates/clementinepond_decide/src/crash/event.rs
@@ -1,4 +1,4 @@
-//! Events that the crash guard reacts to.
+//! Events of the crash guard.
 
 use super::identity::{CrashTicket, EndpointIncarnation, RequestFingerprint};
 use super::message::CrashMessage;
@@ -7,7 +7,7 @@
 use clementinepond_types::{DataCentreId, EndpointId, Epoch, LocalTime, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Event that the crash guard reacts to.
+/// Event of the crash guard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CrashEvent {
     /// A request is about to be sent to an endpoint, as a first attempt or a retry.
@@ -56,7 +56,7 @@
         /// Time at which the report was requested.
         asked_at: LocalTime,
     },
-    /// An endpoint has sent no report for longer than the node's time limit.
+    /// The latest report of an endpoint became older than the node's time limit.
     EndpointUnreachable {
         /// Endpoint that is unreachable.
         endpoint: EndpointId,
@@ -87,7 +87,7 @@
         /// Outcome of the read.
         reply: ReadReply<VerdictObject>,
     },
-    /// An operator releases a request.
+    /// An operator requested the release of a blocked request.
     Release {
         /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
--- a/crates/clementinepond_decide/src/crash/evidence.rs
+++ b/crates/clementinepond_decide/src/crash/evidence.rs
@@ -4,7 +4,9 @@
 //! probable the loss is if the request crashes every endpoint than if it was in
 //! flight by coincidence. The probability of a coincidence is the endpoint's own
 //! crash rate times the run time of the request, so that the loss of an endpoint
-//! that often crashes has little weight. The weights of a request's confirmed
+//! that often crashes has little weight. The crash rate is estimated as one more
+//! than the endpoint's known crashes, divided by `crash_interval` plus
+//! `crash_window`. The weights of a request's confirmed
 //! losses are added and compared with `evidence_threshold`.
 
 use super::settings::CrashSettings;
@@ -14,7 +16,8 @@
 /// Lower bound for the run time, which bounds the weight of a loss.
 const MIN_RUN_TIME: TimeSpan = TimeSpan::from_millis(500);
 
-/// Returns the weight of a loss, in thousandths of a bit.
+/// Returns the weight of a loss, in thousandths of a bit; 0 if a coincidence is at
+/// least as probable.
 pub(crate) fn loss_evidence(
     settings: &CrashSettings,
     earlier_crashes: usize,
--- a/crates/clementinepond_decide/src/crash/guard.rs
+++ b/crates/clementinepond_decide/src/crash/guard.rs
@@ -33,8 +33,8 @@
     }
     let mut effects = Vec::new();
     if state.verdicts.is_refused(fingerprint, now) {
-        // A copy that was in flight at the time of the verdict completed, which
-        // disproves the verdict.
+        // A run of the request that was in flight at the time of the verdict has
+        // completed, so the request does not crash every endpoint.
         effects.extend(release(state, fingerprint, now));
     }
     effects.extend(permit::end_run(state, ticket));
@@ -147,8 +147,8 @@
     effects
 }
 
-/// Treats the runs at an unreachable endpoint as broken and confirms its pending
-/// losses.
+/// Treats this VM's connections to an unreachable endpoint as broken and confirms the
+/// endpoint's pending losses.
 pub(crate) fn endpoint_unreachable(
     state: &mut CrashState,
     endpoint: &EndpointId,
@@ -203,8 +203,8 @@
     evaluate(state, &suspects, now)
 }
 
-/// Blocks requests with enough losses and evidence, and reports suspects in flight
-/// to the arbiter.
+/// Blocks requests with enough losses and evidence, and registers runs of suspects in
+/// flight with the arbiter.
 pub(crate) fn evaluate(
     state: &mut CrashState,
     fingerprints: &[RequestFingerprint],
@@ -226,7 +226,7 @@
     effects
 }
 
-/// Merges verdicts and queues the new ones for broadcast and for the store.
+/// Merges verdicts and queues the new ones for broadcast and for the verdict object.
 pub(crate) fn merge_verdicts(
     state: &mut CrashState,
     verdicts: &[Verdict],
@@ -256,7 +256,7 @@
     effects
 }
 
-/// Clears a request of its losses and releases it if there is a verdict on it.
+/// Clears a request of its losses and, if there is a verdict on it, releases it.
 pub(crate) fn release(
     state: &mut CrashState,
     fingerprint: RequestFingerprint,
@@ -269,7 +269,7 @@
     }
 }
 
-/// Merges what another VM announced and evaluates the requests concerned.
+/// Merges reports of another VM and evaluates the affected requests.
 pub(crate) fn merge_announcement(
     state: &mut CrashState,
     losses: Vec<LossReport>,
@@ -291,7 +291,7 @@
     }
     let queued = state.updates.verdicts.len();
     let mut effects = merge_verdicts(state, &verdicts, now);
-    // The VM that issued a verdict sends it to every VM, so it is not sent on.
+    // The VM that issued a verdict broadcasts it to every VM, so it is not forwarded.
     state.updates.verdicts.truncate(queued);
     affected.sort_unstable();
     affected.dedup();
@@ -356,10 +356,10 @@
         .collect()
 }
 
-/// Confirms overdue losses, renews permits and removes expired entries.
+/// Renews permits, confirms overdue losses and removes expired entries.
 pub(crate) fn sweep(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
-    // Frequent renewal permits a short `permit_limit`, so that a lost message at
-    // the end of a run does not occupy the endpoint for long.
+    // Permits are renewed often so that `permit_limit` can be short: a lost `RunEnded`
+    // message keeps the endpoint occupied until the permit expires.
     let mut effects = permit::report_runs(state);
     state.updates.occupied_changed |= !state.own_occupied().is_empty();
     for loss in state.losses.overdue(&state.settings, now) {
--- a/crates/clementinepond_decide/src/crash/identity.rs
+++ b/crates/clementinepond_decide/src/crash/identity.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Length of a fingerprint; a prefix of the BLAKE3 hash.
+/// Length of a fingerprint, which is the start of a BLAKE3 hash.
 const FINGERPRINT_BYTES: usize = 16;
 
 /// Error for text that is not a fingerprint.
@@ -63,7 +63,7 @@
     }
 }
 
-/// Number of one run of a request, unique within one VM process.
+/// Number of one run of a request; unique within one VM process.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -99,7 +99,7 @@
     }
 }
 
-/// Endpoint process that was lost, or to which a connection broke.
+/// Endpoint process to which a connection broke, whether or not it crashed.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[display("{endpoint}#{incarnation}")]
 pub struct EndpointLoss {
--- a/crates/clementinepond_decide/src/crash/loss.rs
+++ b/crates/clementinepond_decide/src/crash/loss.rs
@@ -12,9 +12,9 @@
 /// Variants are in order of certainty; the statuses of two VMs merge to the larger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum LossStatus {
-    /// A connection broke; the loss is neither confirmed nor dismissed.
+    /// A connection broke; no report has confirmed or dismissed the loss yet.
     Pending,
-    /// The endpoint stayed unreachable, or the loss was pending for too long.
+    /// The endpoint counted as unreachable, or the loss was pending for `pending_limit`.
     Unreachable,
     /// The same process reported after the break, which dismisses the loss.
     Alive,
@@ -35,8 +35,8 @@
 pub(crate) struct LossEntry {
     pub(crate) status: LossStatus,
     pub(crate) broken_at: LocalTime,
-    /// Whether a blocked request explains the loss, so that it does not count as
-    /// one of the endpoint's own crashes.
+    /// Whether a blocked request was in flight at the loss, so that the loss does not
+    /// count as one of the endpoint's own crashes.
     ///
     /// Other requests that were in flight stay suspects until they complete, since
     /// the blocked request need not be the culprit.
@@ -111,7 +111,8 @@
         self.entries.get(loss)
     }
 
-    /// Returns reports on the given losses for another VM, leaving out unknown ones.
+    /// Returns the reports on the given losses to send to another VM, without those that
+    /// this VM does not know.
     pub(crate) fn reports(&self, losses: &[EndpointLoss]) -> Vec<LossReport> {
         let known = losses.iter().filter_map(|loss| {
             let entry = self.entries.get(loss)?;
--- a/crates/clementinepond_decide/src/crash/message.rs
+++ b/crates/clementinepond_decide/src/crash/message.rs
@@ -24,7 +24,7 @@
     pub loss: EndpointLoss,
     /// Weight of the loss as evidence, in thousandths of a bit.
     pub evidence: u64,
-    /// Run time of the request when the connection broke.
+    /// Time for which the request had run when the connection broke.
     pub run_time: TimeSpan,
     /// Whether the request was cleared of the loss by a completed run or an operator.
     pub cleared: bool,
@@ -35,7 +35,7 @@
 pub enum PermitReply {
     /// The request may run on this endpoint only.
     Run(EndpointId),
-    /// The request has to wait; the arbiter answers again when the permit is granted.
+    /// The request has to wait; the arbiter answers again when the decision changes.
     Wait,
     /// The request has no uncleared loss and may run on any endpoint.
     Cleared,
@@ -63,9 +63,9 @@
         fingerprint: RequestFingerprint,
         /// Endpoints that can run it, shortest expected wait first.
         candidates: Vec<EndpointId>,
-        /// Losses that the sender counts against it.
+        /// Losses of the request at the sender, cleared ones included.
         suspects: Vec<SuspectReport>,
-        /// Statuses of the losses at the sender.
+        /// Statuses of the uncleared losses at the sender.
         losses: Vec<LossReport>,
         /// Time left until the run is refused.
         time_left: TimeSpan,
@@ -90,9 +90,9 @@
     RunEnded {
         /// Run that ended.
         ticket: CrashTicket,
-        /// Losses that the sender counts against the request.
+        /// Losses of the request at the sender, cleared ones included.
         suspects: Vec<SuspectReport>,
-        /// Statuses of the losses at the sender.
+        /// Statuses of the uncleared losses at the sender.
         losses: Vec<LossReport>,
     },
 }
--- a/crates/clementinepond_decide/src/crash/object.rs
+++ b/crates/clementinepond_decide/src/crash/object.rs
@@ -1,4 +1,4 @@
-//! Platform object that stores all verdicts.
+//! Platform object that stores the verdicts and releases of the fleet.
 
 use super::identity::RequestFingerprint;
 use super::verdict::Verdict;
--- a/crates/clementinepond_decide/src/crash/permit.rs
+++ b/crates/clementinepond_decide/src/crash/permit.rs
@@ -1,7 +1,7 @@
 //! Permits for suspects: where and when a request may run.
 //!
 //! A VM requests permits from the arbiter, which is the same VM or another one;
-//! this module holds both sides.
+//! this module implements the requester and the arbiter.
 
 use super::arbiter::RunKey;
 use super::effect::{CrashEffect, CrashRefusal};
@@ -29,8 +29,8 @@
     deadline: LocalTime,
     now: LocalTime,
 ) -> Vec<CrashEffect> {
-    // A verdict may have expired before the losses that led to it, in which case
-    // the request is blocked again.
+    // If the verdict expired before the losses that led to it, the request is blocked
+    // again here.
     let mut effects = guard::evaluate(state, &[fingerprint], now);
     if let Some(retry_after) = state.verdicts.refused_for(fingerprint, now) {
         effects.push(poison_refusal(ticket, retry_after));
@@ -54,8 +54,8 @@
     effects
 }
 
-/// Refuses a waiting run that is blocked or past its deadline, or requests its
-/// permit again.
+/// Refuses a waiting run that is blocked or past its deadline; otherwise requests its
+/// permit again when that is due.
 fn advance(state: &mut CrashState, ticket: CrashTicket, now: LocalTime) -> Vec<CrashEffect> {
     let Some(RunEntry::Waiting(run)) = state.runs.get_mut(&ticket) else {
         return Vec::new();
@@ -145,19 +145,28 @@
         SuspectStatus::Suspect => {}
     }
     let (losses, settings) = (&state.losses, &state.settings);
-    if !state.suspects.is_report_wait_over(fingerprint, settings, now) {
+    if !state
+        .suspects
+        .is_report_wait_over(fingerprint, settings, now)
+    {
         return PermitReply::Wait;
     }
     let crashes = |endpoint: &EndpointId| losses.unexplained_crashes(endpoint);
-    let is_likely_culprit = state.suspects.is_likely_culprit(fingerprint, losses, settings);
+    let is_likely_culprit = state
+        .suspects
+        .is_likely_culprit(fingerprint, losses, settings);
     let without_pending_loss: Vec<EndpointId> = candidates
         .iter()
         .filter(|endpoint| losses.pending_at(endpoint).is_empty())
         .cloned()
         .collect();
-    let chosen = state
-        .permits
-        .choose(fingerprint, &without_pending_loss, is_likely_culprit, crashes, settings);
+    let chosen = state.permits.choose(
+        fingerprint,
+        &without_pending_loss,
+        is_likely_culprit,
+        crashes,
+        settings,
+    );
     let Some(endpoint) = chosen else {
         return PermitReply::Wait;
     };
@@ -172,12 +181,12 @@
     PermitReply::Run(endpoint)
 }
 
-/// Grants permits to waiting runs where possible.
+/// Decides the waiting runs again and answers those that no longer have to wait.
 pub(crate) fn grant_waiting(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
     let mut effects = Vec::new();
     let mut waiting = state.permits.waiting();
-    // Likely culprits go first: once the culprit is found, the other suspects are
-    // no longer held back.
+    // Likely culprits go first: once the culprit is blocked, its losses no longer make
+    // the other suspects likely culprits, and these can share endpoints.
     waiting.sort_by_key(|(_, waiter)| {
         let fingerprint = waiter.fingerprint;
         !state
@@ -313,8 +322,8 @@
     }
 }
 
-/// Reports every registered or permitted run to the arbiter, to renew its permit or
-/// to inform a new arbiter.
+/// Returns the messages that report every registered or permitted run to the arbiter,
+/// which renew its permit or inform a new arbiter.
 pub(crate) fn report_runs(state: &CrashState) -> Vec<CrashEffect> {
     let to = state.arbiter();
     let mut effects = Vec::new();
@@ -338,7 +347,7 @@
     effects
 }
 
-/// Records the permit of a run that a VM reports as running.
+/// Records or renews the permit of a run that a VM reports.
 pub(crate) fn running(
     state: &mut CrashState,
     from: VmId,
@@ -349,9 +358,10 @@
 ) -> Vec<CrashEffect> {
     let key = RunKey { vm: from, ticket };
     let expiry = now + state.settings.permit_limit;
-    let is_likely_culprit = state
-        .suspects
-        .is_likely_culprit(fingerprint, &state.losses, &state.settings);
+    let is_likely_culprit =
+        state
+            .suspects
+            .is_likely_culprit(fingerprint, &state.losses, &state.settings);
     state
         .permits
         .insert(key, fingerprint, endpoint, is_likely_culprit, expiry);
@@ -374,8 +384,11 @@
     ticket: CrashTicket,
     fingerprint: Option<RequestFingerprint>,
 ) -> CrashMessage {
-    let suspects = fingerprint.map_or_else(Vec::new, |fingerprint| state.suspects.reports(fingerprint));
-    let uncleared = fingerprint.map_or_else(Vec::new, |fingerprint| state.suspects.uncleared_losses(fingerprint));
+    let suspects =
+        fingerprint.map_or_else(Vec::new, |fingerprint| state.suspects.reports(fingerprint));
+    let uncleared = fingerprint.map_or_else(Vec::new, |fingerprint| {
+        state.suspects.uncleared_losses(fingerprint)
+    });
     CrashMessage::RunEnded {
         ticket,
         suspects,
@@ -383,7 +396,7 @@
     }
 }
 
-/// Removes a run and notifies the arbiter if the arbiter knows of it.
+/// Removes a run and notifies the arbiter if the arbiter may know of it.
 pub(crate) fn end_run(state: &mut CrashState, ticket: CrashTicket) -> Vec<CrashEffect> {
     let run = state.runs.remove(&ticket);
     let fingerprint = run.as_ref().map(RunEntry::fingerprint);
@@ -414,7 +427,7 @@
     effects
 }
 
-/// Advances the waiting runs of a request.
+/// Advances the waiting runs of a request; other runs are left as they are.
 pub(crate) fn advance_waiting(
     state: &mut CrashState,
     fingerprint: RequestFingerprint,
@@ -432,7 +445,8 @@
         .collect()
 }
 
-/// Advances all waiting runs and grants permits that became possible.
+/// Advances all waiting runs of this VM and decides again those that wait for a permit of
+/// this VM.
 pub(crate) fn tick(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
     let waiting: Vec<CrashTicket> = state
         .runs
--- a/crates/clementinepond_decide/src/crash/reduce.rs
+++ b/crates/clementinepond_decide/src/crash/reduce.rs
@@ -10,7 +10,8 @@
 use clementinepond_types::{DataCentreId, Epoch, LocalTime, TimeSpan, VmId};
 use std::collections::VecDeque;
 
-/// Time between two removals of expired entries, which also renew permits.
+/// Time between two sweeps, which remove expired entries, confirm overdue losses and renew
+/// permits.
 const SWEEP_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
 /// Applies one event to the state and returns the effects to carry out.
@@ -19,7 +20,7 @@
     let mut effects = Vec::new();
     while let Some(effect) = queue.pop_front() {
         match effect {
-            // Messages that the arbiter sends to itself bypass the network.
+            // Messages of this VM to itself, as requester and arbiter, bypass the network.
             CrashEffect::Send { to, message } if to == state.vm => {
                 queue.extend(received(state, to, message, now));
             }
@@ -120,8 +121,8 @@
             suspects,
             losses,
         } => {
-            // The outcome of this run is merged before its permit is removed, so
-            // that the next copy is decided with it.
+            // The losses of this run are merged before its permit is removed, so that
+            // they count when the next run of the same request is decided.
             let mut effects = guard::merge_announcement(state, losses, suspects, Vec::new(), now);
             effects.extend(permit::run_ended(state, from, ticket, now));
             effects
@@ -154,7 +155,7 @@
         return Vec::new();
     }
     if arbiter == state.vm {
-        // Grants no permits until other VMs had time to report the runs that the
+        // No permits are granted until other VMs had time to report the runs that the
         // former arbiter permitted.
         state.arbiter_ready_at = now + state.settings.arbiter_wait;
     }
--- a/crates/clementinepond_decide/src/crash/run.rs
+++ b/crates/clementinepond_decide/src/crash/run.rs
@@ -1,4 +1,4 @@
-//! Runs of this VM that wait for a permit, hold one, or are in flight.
+//! Runs on this VM that wait for a permit, hold one, or are in flight.
 
 use super::identity::{EndpointIncarnation, EndpointLoss, RequestFingerprint};
 use clementinepond_types::{EndpointId, LocalTime};
@@ -14,7 +14,7 @@
     pub(crate) arbiter_deadline: LocalTime,
 }
 
-/// Stage: may be sent to one endpoint.
+/// Stage: permitted; not sent to the endpoint yet.
 #[derive(Debug, Clone)]
 pub(crate) struct Permitted {
     pub(crate) endpoint: EndpointId,
--- a/crates/clementinepond_decide/src/crash/settings.rs
+++ b/crates/clementinepond_decide/src/crash/settings.rs
@@ -3,7 +3,7 @@
 use clementinepond_types::TimeSpan;
 use serde::{Deserialize, Serialize};
 
-/// How VMs share knowledge and decide where a suspect may run.
+/// How VMs share observations and decide where a suspect may run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrashSharing {
@@ -16,7 +16,7 @@
     Arbiter,
 }
 
-/// Rule that a test disables to show that the test detects its absence.
+/// Rule that a test disables, to show that the test fails without the rule.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CrashMutation {
     /// Every rule is enabled.
@@ -24,7 +24,7 @@
     None,
     /// A broken connection counts as a confirmed loss.
     TrustBrokenStream,
-    /// A completed run clears nothing.
+    /// A completed run does not clear its request.
     KeepCleared,
     /// Several copies of a suspect run at once.
     RunCopies,
@@ -38,46 +38,48 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CrashSettings {
-    /// How VMs share knowledge and decide where a suspect may run.
+    /// How VMs share observations and decide where a suspect may run.
     pub sharing: CrashSharing,
     /// Whether suspects need a permit; if not, they run like other requests.
     pub separate: bool,
-    /// Confirmed losses from which a request can be blocked.
+    /// Number of confirmed losses at which a request can be blocked.
     pub loss_limit: usize,
-    /// Evidence from which a request is blocked, in thousandths of a bit.
+    /// Evidence at which a request with `loss_limit` losses is blocked, in thousandths of
+    /// a bit; 0 requires none.
     pub evidence_threshold: u64,
-    /// Mean time between crashes that is assumed for an endpoint without known crashes.
+    /// Observation time added to `crash_window`, with one assumed crash, to estimate an
+    /// endpoint's own crash rate.
     pub crash_interval: TimeSpan,
-    /// Time for which a loss is remembered, if longer than `suspect_lifetime`; also
-    /// part of the observation time behind an endpoint's crash rate.
+    /// Time for which a loss is kept, if longer than `suspect_lifetime`; also the time
+    /// over which an endpoint's known crashes count for its crash rate.
     pub crash_window: TimeSpan,
-    /// Unexplained crashes beyond those of the best candidate from which an endpoint
-    /// gets no suspects.
+    /// Number of unexplained crashes beyond those of the best candidate at which an
+    /// endpoint gets no suspects.
     pub flaky_limit: usize,
-    /// Run time at a loss from which a request is a less likely culprit.
+    /// Run time before a loss at or above which a request is a less likely culprit.
     pub fresh_limit: TimeSpan,
-    /// Largest number of less likely culprits on one endpoint at a time.
+    /// Largest number of less likely culprits that share one endpoint.
     pub group_limit: usize,
-    /// Time for which a suspect is remembered after its last new loss.
+    /// Time for which a suspect is kept after a loss was added or its evidence rose.
     pub suspect_lifetime: TimeSpan,
     /// Time after which a verdict or a release expires.
     pub verdict_lifetime: TimeSpan,
-    /// Time after which a pending loss is confirmed; also the retry time of runs that
-    /// got no permit.
+    /// Time after which a pending loss is confirmed; also the `retry_after` of a run that
+    /// got no permit before its deadline.
     pub pending_limit: TimeSpan,
     /// Time after which a permit expires without renewal.
     pub permit_limit: TimeSpan,
-    /// Wait before the first permit of a suspect, in which other VMs report copies in
-    /// flight.
+    /// Wait before the first permit of a suspect, in which other VMs report runs of the
+    /// same request that are in flight.
     pub report_wait: TimeSpan,
     /// Time for which a completed run can clear its request of a later loss.
     pub sound_lifetime: TimeSpan,
     /// Largest number of later losses that completed runs can clear a request of.
     pub sound_credits: usize,
-    /// Largest number of completed runs that are remembered.
+    /// Largest number of completed runs that are kept.
     pub sound_limit: usize,
     /// Wait for an answer of the arbiter before a VM decides by itself; also the wait
-    /// of a new arbiter before its first permit.
+    /// of a VM that became the arbiter before its first permit.
     pub arbiter_wait: TimeSpan,
     /// Time between retries of a permit request.
     pub resend_interval: TimeSpan,
@@ -85,9 +87,9 @@
     pub announce_gap: TimeSpan,
     /// Shortest time between two reads or writes of the verdict object.
     pub store_gap: TimeSpan,
-    /// Largest number of suspects that are remembered.
+    /// Largest number of suspects that are kept.
     pub suspect_limit: usize,
-    /// Largest number of verdicts that are remembered.
+    /// Largest number of verdicts that are kept.
     pub verdict_limit: usize,
     /// Rule that a test disabled.
     #[serde(skip)]
--- a/crates/clementinepond_decide/src/crash/state.rs
+++ b/crates/clementinepond_decide/src/crash/state.rs
@@ -1,4 +1,4 @@
-//! State of the crash guard of one VM.
+//! State of the crash guard on one VM.
 
 use super::arbiter::PermitTable;
 use super::completion::CompletionTable;
@@ -41,7 +41,8 @@
 pub(crate) struct VerdictStore {
     /// Last known version of the object; `None` if it does not exist or is not known.
     pub(crate) version: Option<ObjectVersion>,
-    /// Whether the object was read since the start or the last unknown write.
+    /// Whether the object was read since the start or since the last write whose outcome
+    /// is unknown.
     pub(crate) loaded: bool,
     /// Whether the verdicts changed since the last write.
     pub(crate) dirty: bool,
@@ -58,15 +59,15 @@
     pub in_flight: usize,
     /// Runs that wait for a permit.
     pub waiting: usize,
-    /// Endpoint processes with a remembered loss, dismissed ones included.
+    /// Lost endpoint processes that are kept, dismissed ones included.
     pub losses: usize,
-    /// Requests with remembered losses, cleared ones included.
+    /// Requests with kept losses, cleared ones included.
     pub suspects: usize,
     /// Permits that this VM granted or that were registered with it.
     pub permits: usize,
 }
 
-/// Crash guard of one VM.
+/// State of the crash guard on one VM.
 #[derive(Debug, Clone)]
 pub struct CrashState {
     pub(crate) settings: CrashSettings,
@@ -78,7 +79,7 @@
     pub(crate) verdicts: VerdictTable,
     pub(crate) permits: PermitTable,
     pub(crate) completions: CompletionTable,
-    /// Endpoints where other VMs run suspects, and the expiry of that information.
+    /// Endpoints where each other VM runs suspects, and the expiry of that information.
     pub(crate) occupied: BTreeMap<VmId, (Vec<EndpointId>, LocalTime)>,
     pub(crate) updates: UpdateQueue,
     pub(crate) store: VerdictStore,
@@ -163,8 +164,8 @@
         all.into_iter().collect()
     }
 
-    /// Returns the VM that grants permits: the same VM of all rosters at every VM with
-    /// [`CrashSharing::Arbiter`], otherwise this VM.
+    /// Returns the VM that grants permits: with [`CrashSharing::Arbiter`] the VM with the
+    /// largest hash in all rosters, or this VM while no roster is known; otherwise this VM.
     pub(crate) fn arbiter(&self) -> VmId {
         if self.settings.sharing != CrashSharing::Arbiter {
             return self.vm.clone();
--- a/crates/clementinepond_decide/src/crash/suspect.rs
+++ b/crates/clementinepond_decide/src/crash/suspect.rs
@@ -12,7 +12,7 @@
 pub(crate) struct SuspectLoss {
     /// Weight of the loss, in thousandths of a bit.
     pub(crate) evidence: u64,
-    /// Shortest reported run time of the request at the loss.
+    /// Shortest reported time for which the request had run at the loss.
     pub(crate) run_time: TimeSpan,
     /// Whether the request was cleared of the loss.
     pub(crate) cleared: bool,
@@ -34,8 +34,8 @@
     Cleared,
     /// The request needs a permit to run.
     Suspect,
-    /// Pending losses may raise the confirmed ones to `loss_limit`; no run until
-    /// they are decided.
+    /// Confirmed and pending losses together reach `loss_limit`; the request must not
+    /// run until the pending ones are confirmed or dismissed.
     Undecided,
     /// The request is to be blocked.
     Poison,
@@ -170,8 +170,8 @@
         self.entries.len()
     }
 
-    /// Returns whether other VMs had time to report runs of a request, which is
-    /// `report_wait` after the first loss.
+    /// Returns whether `report_wait` has passed since the first loss, so that other VMs
+    /// have reported their runs of the request.
     pub(crate) fn is_report_wait_over(
         &self,
         fingerprint: RequestFingerprint,
@@ -201,7 +201,8 @@
         })
     }
 
-    /// Returns the losses of a request for another VM, cleared ones included.
+    /// Returns the reports on the losses of a request to send to another VM, cleared
+    /// losses included.
     pub(crate) fn reports(&self, fingerprint: RequestFingerprint) -> Vec<SuspectReport> {
         self.entries
             .get(&fingerprint)
--- a/crates/clementinepond_decide/src/crash/verdict.rs
+++ b/crates/clementinepond_decide/src/crash/verdict.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Verdict on one request, as VMs exchange it.
+/// Verdict on one request, or its release, as VMs exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Fingerprint of the request.
@@ -46,7 +46,8 @@
 }
 
 impl VerdictEntry {
-    /// Returns the merge order; a release supersedes the verdict of the same round.
+    /// Returns the key by which verdicts on one request are ordered; a release is newer
+    /// than the verdict of the same round.
     fn order(&self) -> (u32, bool) {
         (self.round, self.released)
     }
@@ -59,8 +60,8 @@
 }
 
 impl VerdictTable {
-    /// Returns the time for which a request is still blocked and counts the refusal;
-    /// `None` if the request is not blocked.
+    /// Counts the refusal of a blocked request and returns the time until its verdict
+    /// expires; `None` if the request is not blocked.
     pub(crate) fn refused_for(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -80,8 +81,8 @@
             .is_some_and(|entry| !entry.released && now < entry.expiry)
     }
 
-    /// Returns a verdict that blocks a request and is newer than any known one; the
-    /// caller merges it.
+    /// Returns a verdict that blocks a request and is newer than the known one on it;
+    /// the caller merges it.
     pub(crate) fn block(
         &self,
         fingerprint: RequestFingerprint,
--- a/crates/clementinepond_decide/src/crash/verdict_store.rs
+++ b/crates/clementinepond_decide/src/crash/verdict_store.rs
@@ -8,8 +8,8 @@
 use crate::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::LocalTime;
 
-/// Reads the verdict object at the start and after an unknown write; writes it when
-/// the verdicts changed and this VM is the arbiter.
+/// Reads the verdict object at the start and after a write whose outcome is unknown;
+/// writes it when the verdicts changed and this VM is the arbiter.
 pub(crate) fn tick(state: &mut CrashState, now: LocalTime) -> Vec<CrashEffect> {
     if state.settings.sharing == CrashSharing::Isolated {
         return Vec::new();
@@ -53,8 +53,8 @@
             found.map_or_else(Vec::new, |found| merge_found(state, found, now))
         }
         StoreReply::Unknown => {
-            // Another read shows whether the write took effect; verdicts can be
-            // merged in any order.
+            // The object is read again to learn its version. The read may return verdicts
+            // that this VM wrote, which merge in any order.
             state.store.dirty = true;
             state.store.loaded = false;
             Vec::new()
--- a/crates/clementinepond_decide/src/lib.rs
+++ b/crates/clementinepond_decide/src/lib.rs
@@ -1,9 +1,10 @@
 //! The decisions of a VM, without I/O, clocks, randomness or threads.
 //!
-//! Each part of the system is a folder with the same inner shape: `event.rs`
-//! holds what can happen to it, `effect.rs` what it asks its edge to do,
-//! `state.rs` what it remembers and `reduce.rs` the function from an event to
-//! effects. Time and random seeds arrive inside events.
+//! Each subsystem is a module. Most are reducers of the same structure:
+//! `event.rs` defines the inputs, `effect.rs` the actions for the I/O layer to
+//! carry out, `state.rs` the state, and `reduce.rs` the function that applies an
+//! event to the state and returns effects. The time is an argument of that
+//! function; random seeds arrive inside events.
 
 pub mod claim;
 pub mod configuration;
--- a/crates/clementinepond_decide/src/limit/account.rs
+++ b/crates/clementinepond_decide/src/limit/account.rs
@@ -17,7 +17,7 @@
     pub(super) number: u64,
 }
 
-/// Request that waits for tokens.
+/// Origin of a queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Claimant {
     /// A request on this VM.
@@ -46,7 +46,8 @@
 pub(super) struct PeerAnswer {
     /// Time of the last request to the owner.
     pub(super) requested_at: LocalTime,
-    /// Answer; none while the request is unanswered.
+    /// Tokens that the owner reported as left; `None` while the request is
+    /// unanswered or after a new round started.
     pub(super) hint: Option<LevelHint>,
 }
 
@@ -59,7 +60,7 @@
     pub(super) answers: BTreeMap<VmId, PeerAnswer>,
     /// Earliest time of the next request to the owner in this data centre.
     pub(super) retry_at: Option<LocalTime>,
-    /// Requests sent to the owner in this data centre.
+    /// Number of requests sent to the owner in this data centre.
     pub(super) retries: u32,
 }
 
@@ -67,7 +68,7 @@
 #[derive(Debug)]
 pub(super) struct AccountState {
     pub(super) hash: u64,
-    /// Fleet-wide limit; none when the account is inactive.
+    /// Fleet-wide limit; `None` when the account is inactive.
     pub(super) limit: Option<AccountLimit>,
     pub(super) bucket: TokenBucket,
     /// Owner in this data centre under each member list, by the list's digest.
@@ -99,7 +100,8 @@
     /// Refills the bucket up to `now` and ends the token loans past their
     /// deadline.
     ///
-    /// Borrowed capacity counts for the refill up to its own deadline.
+    /// The bucket is refilled up to each deadline in turn, so that borrowed capacity
+    /// can hold tokens only until its own deadline.
     pub(super) fn advance(&mut self, now: LocalTime, settings: &LimitSettings) {
         while let Some((peer, deadline)) = self.next_expiry(now, settings) {
             self.bucket.refill(deadline);
@@ -162,8 +164,8 @@
         self.demand().saturating_sub(self.bucket.level())
     }
 
-    /// Returns the tokens that the queue leaves over, with rate and slice, as
-    /// an estimate for other VMs.
+    /// Returns the tokens that the queue leaves over, with rate and capacity of the
+    /// slice, as an estimate for other VMs.
     pub(super) fn hint(&self) -> LevelHint {
         LevelHint {
             level: self.bucket.level().saturating_sub(self.demand()),
--- a/crates/clementinepond_decide/src/limit/admit.rs
+++ b/crates/clementinepond_decide/src/limit/admit.rs
@@ -49,6 +49,7 @@
             key: account.enqueue(request.priority, entry),
         },
     };
+    // The owner is sent the new request at once, whatever the retry interval.
     account.round.retry_at = None;
     state
         .tickets
@@ -76,8 +77,8 @@
     }
 }
 
-/// Ends an admission: refunds unused tokens and charges those used beyond the
-/// reservation.
+/// Ends an admission: refunds reserved tokens that are neither used nor marked as
+/// spent, and charges those used beyond the reservation.
 pub(super) fn settle(
     state: &mut LimitState,
     ticket: TicketId,
--- a/crates/clementinepond_decide/src/limit/bucket.rs
+++ b/crates/clementinepond_decide/src/limit/bucket.rs
@@ -8,9 +8,9 @@
 /// Tokens and capacity of one account on this VM.
 #[derive(Debug, Default)]
 pub(super) struct TokenBucket {
-    /// Refill rate of the own slice.
+    /// Refill rate of the VM's own slice.
     rate: TokenRate,
-    /// Capacity of the own slice.
+    /// Capacity of the VM's own slice.
     slice: TokenCount,
     borrowed: TokenCount,
     lent: TokenCount,
@@ -18,7 +18,8 @@
     level: TokenCount,
     /// Capacity reserved for tokens that admitted requests have not spent yet.
     held: TokenCount,
-    /// Tokens used beyond reservations; refills and refunds pay them off first.
+    /// Tokens used beyond reservations and not covered by the level; refills and
+    /// refunds pay them off first.
     debt: TokenCount,
     refilled_at: LocalTime,
 }
@@ -92,7 +93,7 @@
         true
     }
 
-    /// Frees held capacity whose tokens have been spent.
+    /// Frees held capacity whose tokens have been spent, so that it can refill.
     pub(super) fn spend(&mut self, amount: TokenCount) {
         self.held = self.held.saturating_sub(amount);
     }
--- a/crates/clementinepond_decide/src/limit/effect.rs
+++ b/crates/clementinepond_decide/src/limit/effect.rs
@@ -1,4 +1,4 @@
-//! Effects of the limits, carried out by the I/O layer.
+//! Effects of the limit reducer, carried out by the I/O layer.
 
 use super::event::TicketId;
 use super::message::LimitMessage;
@@ -9,7 +9,7 @@
 /// Reason why a request was refused; the request has not run.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The account has used up the tokens that its rate allows for now.
+    /// Too few tokens of the account are available before the request's deadline.
     #[display("account is over its rate; send the request again after the stated time")]
     OverRate,
     /// The request costs more than the account's burst.
@@ -32,7 +32,7 @@
     NoAccount,
 }
 
-/// Effect of the limits.
+/// Effect of the limit reducer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitEffect {
     /// Allows the request to be dispatched until the deadline.
@@ -50,7 +50,7 @@
     Refused {
         /// Ticket of the request.
         ticket: TicketId,
-        /// Reason of the refusal.
+        /// Reason for the refusal.
         reason: RefusalReason,
         /// Time until the request could be admitted; none when waiting does not
         /// help.
@@ -64,6 +64,6 @@
         message: LimitMessage,
     },
     /// Reports that this VM has no running or waiting request and lends
-    /// nothing.
+    /// nothing; repeated at each tick after `Release`.
     Released,
 }
--- a/crates/clementinepond_decide/src/limit/event.rs
+++ b/crates/clementinepond_decide/src/limit/event.rs
@@ -1,4 +1,4 @@
-//! Events that the limits handle.
+//! Events of the limit reducer.
 
 use super::message::LimitMessage;
 use clementinepond_types::{
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts of the whole, both of a data centre and of the fleet.
+/// Number of parts of a data centre, and of parts of the fleet.
 const WHOLE_PARTS: u64 = 1_024;
 
 /// Number that identifies one admission on this VM.
@@ -33,7 +33,8 @@
     }
 }
 
-/// Fraction of every account's limit, in units of 1/1,024 of 1/1,024.
+/// Fraction of every account's limit, in units of 1/1,048,576: 1/1,024 of a data
+/// centre that holds 1/1,024 of the fleet.
 #[derive(
     Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -42,7 +43,7 @@
 pub struct PartFraction(u64);
 
 impl PartFraction {
-    /// Fraction of nothing.
+    /// Empty fraction.
     pub const ZERO: Self = Self(0);
 
     /// Converts `parts` of a data centre that has `share` parts of the fleet.
@@ -129,7 +130,7 @@
     pub deadline: LocalTime,
 }
 
-/// Event that the limits handle.
+/// Event of the limit reducer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LimitEvent {
     /// A request needs admission.
@@ -150,7 +151,8 @@
     Settle {
         /// Ticket of the request.
         ticket: TicketId,
-        /// Prompt and generated tokens used under the admission.
+        /// Prompt and generated tokens used under the admission; tokens that `Started` or
+        /// `Progress` marked as spent are not refunded if this is less.
         used: TokenCount,
     },
     /// A waiting request was withdrawn, or an admitted one was never started.
@@ -169,7 +171,7 @@
     PartsChanged(RosterView),
     /// The limits of accounts changed.
     AccountsChanged(AccountTable),
-    /// The tick interval has passed.
+    /// Periodic timer.
     Tick,
     /// This VM shuts down gracefully and stops lending.
     Release,
--- a/crates/clementinepond_decide/src/limit/message.rs
+++ b/crates/clementinepond_decide/src/limit/message.rs
@@ -10,7 +10,8 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Identifies one channel between a borrower and a lender.
+/// Identifies one channel for token loans of one account from a lender to a
+/// borrower.
 #[derive(
     Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -34,7 +35,7 @@
     pub counter: u32,
 }
 
-/// Request of an owner for the slices of the accounts that it owns.
+/// Request of a VM for the receiver's slices of the accounts that the VM owns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanPoll {
     /// Number of the poll.
@@ -71,7 +72,7 @@
     pub time_left: TimeSpan,
 }
 
-/// Waiting request, reported by its VM to the account's owner.
+/// Request that waits for tokens, as its VM reports it to the account's owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueuedRequest {
     /// Ticket of the request on its VM.
@@ -107,8 +108,8 @@
     pub returned_level: TokenCount,
     /// All waiting requests that the lender may serve.
     pub requests: Vec<QueuedRequest>,
-    /// Spare tokens wanted now; the lender grants as many of them as it can
-    /// spare.
+    /// Tokens that an owner lacks and requests from an owner in another data centre,
+    /// which grants as many of them as its own queue leaves over.
     #[serde(with = "super::compact::count")]
     pub want: TokenCount,
 }
@@ -118,14 +119,14 @@
 pub struct RequestDenial {
     /// Ticket of the denied request.
     pub ticket: TicketId,
-    /// Reason of the denial.
+    /// Reason for the denial.
     pub reason: RefusalReason,
     /// Time until the request could be served.
     #[serde(with = "super::compact::span")]
     pub retry_after: TimeSpan,
 }
 
-/// Estimate of what a lender has left, for the borrower's decisions.
+/// Estimate of the tokens that a lender can still lend, for the borrower's decisions.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LevelHint {
     /// Tokens that the lender's queue leaves over.
@@ -148,7 +149,7 @@
     pub channel: ChannelId,
     /// Incarnation of the lender.
     pub lender: u32,
-    /// Number of the last report that the lender received.
+    /// Largest number of a report that the lender received.
     pub number: u32,
     /// Capacity and tokens granted since the channel was opened.
     #[serde(with = "super::compact::count")]
@@ -158,8 +159,8 @@
     pub time_left: TimeSpan,
     /// Requests that the lender denies.
     pub denied: Vec<RequestDenial>,
-    /// Estimate of what the lender has left; only for a borrower that wants
-    /// more.
+    /// Estimate of the tokens that the lender can still lend; `None` unless the last
+    /// report requested spare tokens.
     pub hint: Option<LevelHint>,
 }
 
--- a/crates/clementinepond_decide/src/limit/mod.rs
+++ b/crates/clementinepond_decide/src/limit/mod.rs
@@ -1,9 +1,9 @@
 //! Limits: rate and burst of a client account over all VMs.
 //!
 //! Every VM holds a slice of each account: a refill rate and a capacity. The
-//! slices of all VMs add up to at most the account's rate and burst, whatever
-//! happens to messages, VMs or data centres, because a slice moves only by a
-//! grant with a deadline that the borrower observes earlier than the lender.
+//! slices of all VMs add up to at most the account's rate and burst, also when
+//! messages are lost or VMs or data centres fail, because a slice moves only by a
+//! grant with a deadline that the borrower reaches earlier than the lender.
 //!
 //! Two kinds of grants exist. A *part loan* moves a VM's whole slice of every
 //! account to the account's owner, one VM per data centre chosen by rendezvous
--- a/crates/clementinepond_decide/src/limit/outbox.rs
+++ b/crates/clementinepond_decide/src/limit/outbox.rs
@@ -53,18 +53,18 @@
         self.message(to).loan = Some(loan);
     }
 
-    /// Schedules a report of the account's channel to `to`.
+    /// Schedules a report to the lender `to` about the channel of the account.
     pub(super) fn report(&mut self, to: &VmId, account: &AccountId) {
         self.reports.insert((to.clone(), account.clone()));
     }
 
-    /// Schedules a grant in a channel.
+    /// Schedules a grant to the borrower `to` about a channel.
     pub(super) fn grant(&mut self, to: &VmId, account: &AccountId, channel: ChannelId) {
         let key = (to.clone(), account.clone(), channel);
         self.grants.entry(key).or_default();
     }
 
-    /// Denies a waiting request of another VM.
+    /// Adds the denial of a waiting request to the grant about its channel.
     pub(super) fn deny(
         &mut self,
         to: &VmId,
--- a/crates/clementinepond_decide/src/limit/part_loan.rs
+++ b/crates/clementinepond_decide/src/limit/part_loan.rs
@@ -11,11 +11,14 @@
 use clementinepond_types::{AccountId, LocalTime, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Largest number of member lists that one loan may name.
+/// Largest number of member lists that one loan may name; a poll whose loan would
+/// need more is not answered.
 const MAX_ROSTERS_PER_LOAN: usize = 4;
 
-/// Ends loans past their deadline, in the order of their deadlines, and ends
-/// the start wait when it is over.
+/// Ends part loans past their deadline and the start wait when it is over.
+///
+/// Borrowed parts end in the order of their deadlines, so that each account is
+/// refilled at the rate that applied until then.
 pub(super) fn expire(state: &mut LimitState, now: LocalTime) {
     if !state.settings.has(LimitMutation::KeepExpiredPartLoans) {
         while let Some((lender, deadline)) = next_expiry(state, now) {
@@ -72,9 +75,12 @@
     };
     state.polls.retain(|vm, _| members.contains(vm));
     let remote = &state.remote;
-    state
-        .peers
-        .retain(|vm| members.contains(vm) || remote.iter().any(|list| list.iter().any(|member| member == vm)));
+    state.peers.retain(|vm| {
+        members.contains(vm)
+            || remote
+                .iter()
+                .any(|list| list.iter().any(|member| member == vm))
+    });
     for member in members {
         if member != state.rights.vm {
             state.polls.entry(member).or_default();
@@ -139,7 +145,7 @@
     })
 }
 
-/// Ends loans that the borrower has replaced by a later one.
+/// Ends loans that are older than the one that the borrower confirms in the poll.
 fn drop_superseded(state: &mut LimitState, from: &VmId, poll: &LoanPoll, now: LocalTime) {
     let Some(using) = poll.using else {
         return;
@@ -161,8 +167,8 @@
     }
 }
 
-/// Returns the current member list and, for each loan to another owner that
-/// does not name it, a list which that loan names.
+/// Returns the digests of the current member list and, for each loan to another
+/// owner that names none of the lists chosen so far, of a list that it names.
 fn choose_rosters(state: &LimitState, to: &VmId) -> Vec<u64> {
     let mut rosters = vec![state.rights.current];
     if state.settings.has(LimitMutation::IgnoreEarlierLoans) {
@@ -177,8 +183,8 @@
     rosters
 }
 
-/// Returns the capacity that running requests and token loans still need, by
-/// account.
+/// Returns the capacity that admitted requests hold and that token loans to others
+/// need, by account that the loan covers.
 fn committed_capacity(
     state: &mut LimitState,
     lent: &LentParts,
@@ -299,8 +305,8 @@
     (deadline > now).then_some(deadline)
 }
 
-/// Delays the confirmation of a narrower loan until the token loans that the
-/// wider one backs have expired.
+/// Delays the confirmation of a loan that replaces another one until the token loans
+/// of the accounts that it no longer covers have expired.
 fn defer_confirmation(
     state: &mut LimitState,
     from: &VmId,
--- a/crates/clementinepond_decide/src/limit/peer.rs
+++ b/crates/clementinepond_decide/src/limit/peer.rs
@@ -4,10 +4,10 @@
 use clementinepond_types::{LocalTime, VmId};
 use std::collections::BTreeMap;
 
-/// Unanswered requests to one VM.
+/// Time of unanswered requests to one VM.
 #[derive(Debug, Default)]
 struct PeerWait {
-    /// Time of the first request since the VM was last in contact.
+    /// Time of the first request since the last message from the VM; `None` without one.
     since: Option<LocalTime>,
     /// Earliest time of the next request when the VM is unreachable.
     probe_at: LocalTime,
@@ -39,8 +39,8 @@
         self.peers.retain(|peer, _| keep(peer));
     }
 
-    /// Returns whether no request to the VM has been unanswered for the peer
-    /// timeout.
+    /// Returns whether no request to the VM has been unanswered for `peer_timeout` or
+    /// longer; any message from the VM counts as an answer.
     pub(super) fn is_reachable(
         &self,
         peer: &VmId,
--- a/crates/clementinepond_decide/src/limit/periodic.rs
+++ b/crates/clementinepond_decide/src/limit/periodic.rs
@@ -10,8 +10,8 @@
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Smallest share of a channel's outstanding capacity that is returned before
-/// half of the loan's lifetime has passed: numerator.
+/// Numerator of the smallest share of a channel's outstanding capacity that is
+/// returned while at least half of the loan's lifetime is left.
 const RETURN_SHARE_NUMERATOR: u64 = 1;
 /// Denominator of that share.
 const RETURN_SHARE_DENOMINATOR: u64 = 2;
@@ -61,8 +61,8 @@
         .retain(|_, channel| !channel.is_unanswered(now, settings.lot_span));
 }
 
-/// Returns how much capacity each channel may return without leaving token
-/// loans of this VM to others unbacked.
+/// Returns how much borrowed capacity may go back in each channel, by lender, so that
+/// the token loans of this VM to others remain backed.
 fn returnable_capacity(
     id: &AccountId,
     account: &AccountState,
@@ -85,8 +85,8 @@
         .collect()
 }
 
-/// Returns unused capacity and tokens; lists the VMs to report to, and whether
-/// each of them will answer.
+/// Gives unused capacity and tokens back to the lenders. Returns the VMs to report to,
+/// each with whether it will answer.
 fn return_unused(
     account: &mut AccountState,
     returnable: &BTreeMap<VmId, TokenCount>,
@@ -131,7 +131,8 @@
     due
 }
 
-/// Returns whether this VM has no running or waiting request and lends nothing.
+/// Returns whether the start wait is over, no request is running or waiting, and
+/// this VM lends nothing.
 fn may_release(state: &LimitState) -> bool {
     let is_settled = |account: &AccountState| account.lent.is_empty() && account.queue.is_empty();
     let is_waited = state.is_started() || state.settings.has(LimitMutation::ReleaseEarly);
--- a/crates/clementinepond_decide/src/limit/poll.rs
+++ b/crates/clementinepond_decide/src/limit/poll.rs
@@ -43,8 +43,8 @@
     outbox.poll(vm, poll);
 }
 
-/// Returns the poll whose loan is in use, once nothing depends on an earlier
-/// loan.
+/// Returns the poll whose loan is in use, once no token loan depends on an earlier
+/// one.
 fn confirmed_number(state: &LimitState, vm: &VmId, now: LocalTime) -> Option<PollNumber> {
     let loan = state.rights.borrowed.get(vm)?;
     let is_confirmed = loan.confirm_at <= now || state.settings.has(LimitMutation::ConfirmEarly);
@@ -65,7 +65,8 @@
     }
 }
 
-/// Schedules the next poll early, so that the lender can widen its loan.
+/// Schedules the next poll after the retry interval, so that the lender can soon make
+/// a loan that covers more accounts or capacity.
 pub(super) fn retry_soon(state: &mut LimitState, vm: &VmId, now: LocalTime) {
     let soon = now + state.settings.retry_interval;
     if let Some(poll) = state.polls.get_mut(vm) {
--- a/crates/clementinepond_decide/src/limit/reduce.rs
+++ b/crates/clementinepond_decide/src/limit/reduce.rs
@@ -1,4 +1,4 @@
-//! Reducer of the limits.
+//! Reducer of rate limits.
 
 use super::admit;
 use super::event::PartFraction;
@@ -39,8 +39,8 @@
     outbox.flush(state, now)
 }
 
-/// Stops lending. Without a roster so far, starts the wait for grants of an
-/// earlier process of this VM.
+/// Stops lending. If no roster has arrived yet, also starts the wait for grants of an
+/// earlier process of this VM to expire.
 fn release(state: &mut LimitState, now: LocalTime) {
     state.releasing = true;
     if state.start_wait == StartWait::Unknown {
--- a/crates/clementinepond_decide/src/limit/reservation.rs
+++ b/crates/clementinepond_decide/src/limit/reservation.rs
@@ -44,7 +44,8 @@
 }
 
 impl Ticket<Admitted> {
-    /// Raises the spent total to at most the cost; returns the increase.
+    /// Raises the number of spent tokens to `total`, at most to the cost; returns the
+    /// increase.
     pub(super) fn spend_up_to(&mut self, total: TokenCount) -> TokenCount {
         let total = total.min(self.cost());
         let spent = total.saturating_sub(self.state.spent);
--- a/crates/clementinepond_decide/src/limit/serve.rs
+++ b/crates/clementinepond_decide/src/limit/serve.rs
@@ -1,7 +1,7 @@
 //! Grants tokens to waiting requests in queue order.
 //!
-//! A request that cannot be admitted before its deadline, as far as this VM and
-//! the VMs that answered it can know, is refused at once.
+//! A request that cannot be admitted before its deadline with the tokens of this
+//! VM and of the VMs that answered is refused at once.
 
 use super::account::{AccountState, Claimant, QueueEntry, QueueKey};
 use super::effect::RefusalReason;
@@ -13,7 +13,7 @@
 use super::upstream::{self, ReachableTokens};
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount};
 
-/// Lower bound of `Retry-After`.
+/// Lower bound of an estimated `Retry-After`.
 const MIN_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(100);
 
 /// Admits what the bucket allows, refuses what cannot be served in time and
@@ -72,8 +72,8 @@
     }
 }
 
-/// Returns the deadline that an admission of the first entry would have, or
-/// `None` when it must wait.
+/// Returns the deadline that a grant to the first entry would have, or `None` when
+/// the entry must wait.
 fn head_deadline(state: &LimitState, id: &AccountId, now: LocalTime) -> Option<LocalTime> {
     let settings = &state.settings;
     let account = state.accounts.get(id)?;
@@ -85,6 +85,7 @@
         let key = (vm.clone(), *channel);
         return match account.lent.contains_key(&key) {
             true => state.token_loan_deadline(id, &key, entry.cost, now),
+            // The channel has expired, so the entry is dropped without a grant.
             false => Some(now),
         };
     }
@@ -217,8 +218,8 @@
     unservable
 }
 
-/// Estimates the time until the request could be admitted after those ahead of
-/// it.
+/// Estimates the time until the request could be admitted after those ahead of it;
+/// `unknown_retry` if that cannot be estimated.
 fn estimate_wait(
     state: &LimitState,
     id: &AccountId,
--- a/crates/clementinepond_decide/src/limit/settings.rs
+++ b/crates/clementinepond_decide/src/limit/settings.rs
@@ -1,13 +1,13 @@
-//! Settings of the limits.
+//! Settings of rate limits.
 
 use clementinepond_types::{TimeSpan, TokenRate};
 use serde::{Deserialize, Serialize};
 
-/// Parts per million in a whole.
+/// Divisor of values in parts per million.
 const MILLION: u64 = 1_000_000;
 
-/// Divisor of the member count; the quotient is how many members may have left
-/// since a grant was made.
+/// Divisor of the member count, rounded down, which gives the number of members
+/// that may have left since a grant was made.
 const SHRINK_MARGIN_DIVISOR: usize = 4;
 
 /// Safety check that a test disables to show that it is needed.
@@ -55,7 +55,7 @@
     KeepLentSlice,
 }
 
-/// Settings of the limits.
+/// Settings of rate limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
@@ -70,22 +70,24 @@
     pub lot_span: TimeSpan,
     /// Shortest lifetime with which a token loan is granted.
     pub lot_span_floor: TimeSpan,
-    /// Shortest interval between two polls for part loans, unless `grant_limit`
-    /// requires a shorter one.
+    /// Shortest interval between two polls of one VM for its parts, unless
+    /// `grant_limit` requires a shorter one.
     pub loan_interval: TimeSpan,
-    /// Time per other VM of the data centre that bounds that interval from
-    /// below.
+    /// Lower bound of the interval between polls, per other VM of the data centre,
+    /// also limited by `grant_limit`.
     pub loan_interval_per_peer: TimeSpan,
     /// Lifetime of a part loan, in poll intervals.
     pub loan_intervals: u64,
-    /// Time before an unanswered request to a VM is sent again; doubles for
-    /// repeated requests to the owner.
+    /// Time before an unanswered request for tokens is sent again; doubles with each
+    /// request to the owner in this data centre, at most 4 times. Also the time before
+    /// the next poll after a loan that covers fewer accounts or less capacity than
+    /// the lender holds.
     pub retry_interval: TimeSpan,
     /// Interval between returns and renewals of token loans.
     pub report_interval: TimeSpan,
     /// Time without an answer after which a VM counts as unreachable.
     pub peer_timeout: TimeSpan,
-    /// Interval between attempts to reach an unreachable VM.
+    /// Interval between requests to an unreachable VM.
     pub probe_interval: TimeSpan,
     /// `Retry-After` when the time of admission cannot be estimated.
     pub unknown_retry: TimeSpan,
@@ -120,7 +122,7 @@
 }
 
 impl LimitSettings {
-    /// Returns the interval between polls in a data centre of `members` VMs.
+    /// Returns the interval between polls of one VM in a data centre of `members` VMs.
     #[must_use]
     pub fn poll_interval(&self, members: usize) -> TimeSpan {
         let peers = u64::try_from(members.saturating_sub(1)).unwrap_or(u64::MAX);
--- a/crates/clementinepond_decide/src/limit/slice.rs
+++ b/crates/clementinepond_decide/src/limit/slice.rs
@@ -1,9 +1,10 @@
-//! Slices of accounts that this VM holds, by parts.
+//! Slices of accounts on this VM, from the parts that it holds, lends and borrows.
 //!
 //! While a part loan covers an account, the lender does not use its own parts
-//! for it, apart from the capacity that it keeps. Loans to different owners
-//! made under different rosters share a member list, under which an account has
-//! one owner, so that no account is covered twice.
+//! for it, apart from the capacity that it keeps. A loan names one or more member
+//! lists and covers the accounts that the borrower owns under each of them. Loans
+//! to different owners name a list in common; an account has one owner under that
+//! list, so that no account is covered by two of them.
 
 use super::account::AccountState;
 use super::event::{AccountLimit, PartFraction};
@@ -34,8 +35,8 @@
     pub(super) fraction: PartFraction,
     pub(super) kept: BTreeMap<AccountId, TokenCount>,
     pub(super) deadline: LocalTime,
-    /// Time from which this VM may confirm to the lender that earlier loans are
-    /// no longer used.
+    /// Time from which this VM may confirm to the lender that it no longer uses
+    /// earlier loans.
     pub(super) confirm_at: LocalTime,
 }
 
@@ -51,7 +52,8 @@
 pub(super) struct PartRights {
     pub(super) vm: VmId,
     pub(super) fraction: PartFraction,
-    /// Whether grants of an earlier process of this VM have expired.
+    /// Whether grants of an earlier process of this VM have expired, so that its parts
+    /// may be used and lent.
     pub(super) is_usable: bool,
     pub(super) lent: Vec<LentParts>,
     pub(super) borrowed: BTreeMap<VmId, BorrowedParts>,
@@ -114,7 +116,7 @@
             .collect();
     }
 
-    /// Removes member lists that no loan refers to.
+    /// Removes member lists that are not current and that no loan names.
     pub(super) fn prune_rosters(&mut self) {
         let lent = self.lent.iter().flat_map(|loan| &loan.rosters);
         let borrowed = self.borrowed.values().flat_map(|loan| &loan.rosters);
@@ -124,8 +126,8 @@
             .retain(|digest, _| *digest == current || used.contains(digest));
     }
 
-    /// Returns the capacity that this VM keeps while its parts are lent; none
-    /// when no loan covers the account.
+    /// Returns the smallest capacity that this VM keeps in the loans that cover the
+    /// account; `None` when no loan covers it.
     fn kept(&self, id: &AccountId, account: &AccountState) -> Option<TokenCount> {
         self.lent
             .iter()
@@ -159,6 +161,8 @@
         }
     }
 
+    /// Returns the fraction that this VM uses of its own parts, and the capacity that
+    /// it keeps if the parts are lent.
     fn own_slice(
         &self,
         id: &AccountId,
@@ -179,8 +183,8 @@
 
     /// Returns the time until which `amount` of the capacity is guaranteed.
     ///
-    /// Returns the clock's origin when the capacity is smaller. Times after
-    /// `horizon` need not be exact.
+    /// Returns the clock's origin when the capacity is smaller than `amount`. A
+    /// result at or after `horizon` may be earlier than the exact time.
     pub(super) fn assured_until(
         &self,
         id: &AccountId,
@@ -242,7 +246,7 @@
         tokens + fraction.of_burst(limit.burst).saturating_sub(withheld)
     }
 
-    /// Lists borrowed capacity, latest deadline first.
+    /// Returns the borrowed capacity of an account, latest deadline first.
     fn pieces(&self, id: &AccountId, account: &AccountState) -> Vec<CapacityPiece> {
         let parts = self
             .borrowed
@@ -268,7 +272,8 @@
     }
 }
 
-/// Borrowed capacity with its deadline.
+/// Borrowed capacity with its deadline: a fraction of the burst less the capacity
+/// that the lender keeps, or a number of tokens.
 #[derive(Debug)]
 struct CapacityPiece {
     deadline: LocalTime,
--- a/crates/clementinepond_decide/src/limit/state.rs
+++ b/crates/clementinepond_decide/src/limit/state.rs
@@ -1,4 +1,4 @@
-//! State of the limits.
+//! State of the limit reducer.
 
 use super::account::AccountState;
 use super::event::TicketId;
@@ -17,7 +17,7 @@
 /// Number of latest polls whose send time is kept.
 const MAX_TRACKED_POLLS: usize = 8;
 
-/// Polls of one member for part loans.
+/// Polls that this VM sends to one member for part loans.
 #[derive(Debug, Default)]
 pub(super) struct PollState {
     pub(super) next_at: LocalTime,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns when a poll was sent; none when that is no longer kept.
+    /// Returns when a poll was sent; `None` when the time is no longer kept.
     pub(super) fn sent_at(&self, number: PollNumber) -> Option<LocalTime> {
         self.sent
             .iter()
@@ -48,7 +48,7 @@
     }
 }
 
-/// Wait of a started VM before it uses its slice.
+/// Wait of a VM after its start, before it uses its slices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StartWait {
     /// Not known yet, since no roster has arrived.
@@ -66,7 +66,7 @@
     pub level: TokenCount,
     /// Refill rate of the slice.
     pub rate: TokenRate,
-    /// Capacity with borrowed and without lent capacity.
+    /// Capacity of the slice plus borrowed minus lent capacity.
     pub capacity: TokenCount,
     /// Capacity held by running requests.
     pub held: TokenCount,
@@ -78,7 +78,7 @@
     pub waiting: usize,
 }
 
-/// State of the limits on one VM.
+/// State of the limit reducer on one VM.
 #[derive(Debug)]
 pub struct LimitState {
     pub(super) settings: LimitSettings,
@@ -97,7 +97,7 @@
     pub(super) channel_accounts: BTreeSet<AccountId>,
     pub(super) peers: PeerTable,
     pub(super) polls: BTreeMap<VmId, PollState>,
-    /// Time of the next returns and renewals of token loans.
+    /// Time at which token loans are returned or renewed next.
     pub(super) report_at: LocalTime,
     pub(super) releasing: bool,
     next_channel: u32,
@@ -188,8 +188,8 @@
     /// Returns the deadline of a token loan of `amount`, or `None` when it
     /// cannot be granted.
     ///
-    /// The borrower relies on the whole channel until the channel's deadline,
-    /// so the loans that back the token loan must last as long.
+    /// The borrower relies on all tokens granted in the channel until the channel's
+    /// deadline, so the loans that back the token loan must last as long.
     pub(super) fn token_loan_deadline(
         &self,
         id: &AccountId,
--- a/crates/clementinepond_decide/src/limit/token_loan.rs
+++ b/crates/clementinepond_decide/src/limit/token_loan.rs
@@ -55,8 +55,8 @@
         self.granted
     }
 
-    /// Returns whether the grant comes from the process that answered first,
-    /// which is remembered.
+    /// Returns whether the grant comes from the lender process that answered first, and
+    /// records the first one.
     pub(super) fn is_same_lender(
         &mut self,
         grant: &TokenLoanGrant,
@@ -70,7 +70,8 @@
         self.deadline
     }
 
-    /// Returns whether the channel got no grant within `span` of its opening.
+    /// Returns whether no grant, not even of 0 tokens, set a deadline within `span` of
+    /// the opening of the channel.
     pub(super) fn is_unanswered(&self, now: LocalTime, span: TimeSpan) -> bool {
         self.deadline.is_none() && self.opened_at + span <= now
     }
@@ -137,11 +138,12 @@
     pub(super) number: u32,
     /// Time until which the borrower may rely on the channel.
     pub(super) deadline: LocalTime,
-    /// Time until which the channel is kept while nothing was granted.
+    /// Time until which the channel is kept if nothing was granted in it.
     unused_until: LocalTime,
-    /// Whether the last report asked for spare tokens.
+    /// Whether the last report requested spare tokens.
     pub(super) wants_tokens: bool,
-    /// Requests in the borrower's reports that were granted or denied.
+    /// Requests of the borrower that were granted or denied and that its reports may
+    /// still list.
     pub(super) decided: BTreeSet<TicketId>,
 }
 
--- a/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
+++ b/crates/clementinepond_decide/src/limit/token_loan_exchange.rs
@@ -11,7 +11,8 @@
 use clementinepond_types::{AccountId, LocalTime, TokenCount, VmId};
 use std::collections::BTreeSet;
 
-/// Handles a borrower's report: credits returns and queues its requests.
+/// Handles a borrower's report: credits returns, queues its requests and grants spare
+/// tokens that it wants.
 pub(super) fn take_report(
     state: &mut LimitState,
     from: &VmId,
@@ -149,7 +150,8 @@
     }
 }
 
-/// Handles a lender's grant: borrows what is new and refuses denied requests.
+/// Handles a lender's grant: borrows tokens that are new in it and refuses denied
+/// requests. A grant of a restarted lender ends the channel.
 pub(super) fn take_grant(
     state: &mut LimitState,
     from: &VmId,
--- a/crates/clementinepond_decide/src/limit/upstream.rs
+++ b/crates/clementinepond_decide/src/limit/upstream.rs
@@ -16,14 +16,15 @@
 /// Length of a round of requests to owners in other data centres, in retry
 /// intervals.
 const ROUND_RETRY_INTERVALS: u64 = 3;
-/// Most doublings of the interval between repeated requests to the owner.
+/// Most doublings of the interval between requests to the owner in this data centre.
 const RETRY_DOUBLINGS: u32 = 4;
 
 /// Tokens known to be available here and at the VMs that answered.
 #[derive(Debug)]
 pub(super) struct ReachableTokens {
     pub(super) total: LevelHint,
-    /// Whether every reachable VM that could lend tokens has answered.
+    /// Whether this VM may use its parts and every reachable VM that could lend tokens
+    /// has answered; always `false` while the owner is another, reachable VM.
     pub(super) is_complete: bool,
 }
 
@@ -163,7 +164,8 @@
     send_report(state, id, &owner, now, outbox);
 }
 
-/// Returns the next owner to send a request to in this round.
+/// Returns the next owner to send a request to in this round: one whose request is
+/// unanswered, longest ago first, otherwise one without a request.
 fn next_owner(state: &LimitState, id: &AccountId, owners: &[VmId], now: LocalTime) -> Option<VmId> {
     let round = &state.accounts.get(id)?.round;
     let interval = state.settings.retry_interval;
--- a/crates/clementinepond_decide/src/port/mod.rs
+++ b/crates/clementinepond_decide/src/port/mod.rs
@@ -1,4 +1,4 @@
-//! Replies of the platform's object API, shared by several reducers.
+//! Replies of the platform's object API, as several reducers receive them.
 
 mod object_reply;
 
--- a/crates/clementinepond_decide/src/request/effect.rs
+++ b/crates/clementinepond_decide/src/request/effect.rs
@@ -49,7 +49,7 @@
         /// Time after which the attempt must not start.
         deadline: LocalTime,
     },
-    /// Cancel the attempt in flight.
+    /// Cancel the attempt in flight, if any.
     Cancel {
         /// Ticket of the request.
         ticket: RequestTicket,
@@ -63,7 +63,8 @@
         /// Tokens delivered to the caller so far, over all attempts.
         tokens: u64,
     },
-    /// Return the reserved tokens that the request did not use.
+    /// End the admission, waiting or granted, and return the tokens that the request did
+    /// not use.
     Settle {
         /// Ticket of the request.
         ticket: RequestTicket,
@@ -77,7 +78,7 @@
         /// Properties of the request.
         profile: RequestProfile,
     },
-    /// Report the end of the run to the claim.
+    /// Report the end of the request to the claim.
     CloseClaim {
         /// Ticket of the request.
         ticket: RequestTicket,
--- a/crates/clementinepond_decide/src/request/event.rs
+++ b/crates/clementinepond_decide/src/request/event.rs
@@ -12,14 +12,16 @@
         /// Tokens that the endpoint counted, prompt included; `None` if it does not
         /// count tokens.
         used_tokens: Option<u64>,
-        /// Answer to record, if retries of the call may request it.
+        /// Answer to record for retries under the same idempotency key; `None` if it is not
+        /// to be recorded.
         record: Option<Box<RecordedAnswer>>,
     },
     /// No byte of the request was sent to the endpoint.
     NotSent,
-    /// The endpoint proved that it ran nothing.
+    /// The endpoint's answer shows that it did not run the request.
     RefusedNotRun,
-    /// The endpoint answered with an error caused by the caller, which was passed on.
+    /// The endpoint answered with an error caused by the caller, which was delivered to
+    /// the caller.
     Rejected,
     /// Bytes may have reached the endpoint, and the answer is incomplete.
     Broken {
@@ -94,7 +96,7 @@
     NoEndpoint {
         /// Ticket of the request.
         ticket: RequestTicket,
-        /// Time after which another choice is useful.
+        /// Time after which another choice may succeed.
         retry_after: TimeSpan,
     },
 }
--- a/crates/clementinepond_decide/src/request/mod.rs
+++ b/crates/clementinepond_decide/src/request/mod.rs
@@ -1,8 +1,8 @@
 //! Life cycle of one request, from its arrival to its end.
 //!
 //! A request is admitted within its account's rate limit, is claimed if it has
-//! an idempotency key and is not repeatable, and is dispatched; the node asks
-//! the crash guard before each attempt. Each stage is a type of its
+//! an idempotency key and is not repeatable, and is dispatched; the node
+//! consults the crash guard before each attempt. Each stage is a type of its
 //! own, so that a request cannot be dispatched before it is admitted.
 //!
 //! For the caller, an end means one of three things: an answer (from this run,
--- a/crates/clementinepond_decide/src/request/profile.rs
+++ b/crates/clementinepond_decide/src/request/profile.rs
@@ -6,7 +6,8 @@
 use clementinepond_types::{AccountId, LocalTime, PriorityClass, TokenCount};
 use derive_more::Display;
 
-/// Number of an attempt; the first one of an admission is 1.
+/// Number of an attempt; 1 for the first one after each admission. A choice that finds
+/// no endpoint counts too.
 #[derive(Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNumber(u32);
 
--- a/crates/clementinepond_decide/src/request/reduce.rs
+++ b/crates/clementinepond_decide/src/request/reduce.rs
@@ -12,7 +12,7 @@
 /// Longest wait between two choices of an endpoint; also the `retry_after` of a
 /// request whose admission or claim expired.
 const ROUTE_RETRY_MAX_WAIT: TimeSpan = TimeSpan::from_millis(250);
-/// Time in which a request without an account, on a route that needs no key, must
+/// Time within which a request without an account, on a route that needs no key, must
 /// start.
 const OPEN_ROUTE_START_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
 
@@ -222,7 +222,8 @@
     }
 }
 
-/// Excludes the endpoint of a failed attempt from further attempts.
+/// Excludes the endpoint of a failed attempt until the request has to wait for an
+/// endpoint.
 fn record_failure(table: &mut RequestTable, ticket: RequestTicket, may_have_run: bool) {
     let stage = match table.requests.get_mut(&ticket) {
         Some(RequestStage::Dispatched(request)) => &mut request.stage,
@@ -410,7 +411,8 @@
 }
 
 const fn has_claim(stage: &RequestStage) -> bool {
-    // The claim is open as soon as it was requested.
+    // The claim is requested on entry to the stage `Admitted`; from then on it must be
+    // closed, granted or not.
     let is_past_admission = matches!(
         stage,
         RequestStage::Admitted(_) | RequestStage::Dispatched(_) | RequestStage::Answering(_)
--- a/crates/clementinepond_decide/src/request/retry_budget.rs
+++ b/crates/clementinepond_decide/src/request/retry_budget.rs
@@ -5,7 +5,7 @@
 //! budget is exhausted and failed requests end at once, since retries would only
 //! add load.
 
-/// Budget units of one retry, so that a request adds `percent` units.
+/// Budget units of one retry; 100, so that a request adds `percent` units.
 const UNITS_PER_RETRY: u64 = 100;
 /// Largest number of retries that the budget can hold.
 const MAX_RESERVED_RETRIES: u64 = 50;
@@ -18,7 +18,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a full budget to which each request adds `percent` hundredths of a
+    /// Creates a full budget, to which each request adds `percent` hundredths of a
     /// retry.
     #[must_use]
     pub fn new(percent: u32) -> Self {
--- a/crates/clementinepond_decide/src/request/stage.rs
+++ b/crates/clementinepond_decide/src/request/stage.rs
@@ -24,7 +24,8 @@
     /// The endpoint did not complete the answer and may have run the request.
     #[display("endpoint_failed")]
     EndpointFailed,
-    /// The retry budget or the number of attempts is used up.
+    /// The retry budget or the number of attempts is used up, or the deadline passed
+    /// before a retry.
     #[display("retries_exhausted")]
     RetriesExhausted,
     /// The account is unknown or disabled.
@@ -70,7 +71,8 @@
         /// Tokens that the endpoint counted, prompt included; `None` if it does not
         /// count tokens.
         used_tokens: Option<u64>,
-        /// Answer to record, if retries of the call may request it.
+        /// Answer to record for retries under the same idempotency key; `None` if it is not
+        /// to be recorded.
         record: Option<Box<RecordedAnswer>>,
     },
     /// The caller received the endpoint's own error.
--- a/crates/clementinepond_decide/src/request/state.rs
+++ b/crates/clementinepond_decide/src/request/state.rs
@@ -7,7 +7,7 @@
 /// Limits on attempts and retries.
 #[derive(Debug, Clone)]
 pub struct RequestPolicy {
-    /// Largest number of attempts of one request.
+    /// Number of attempts after one admission at which a failed one is no longer retried.
     pub attempt_limit: u32,
     /// Retries that every 100 requests add to the budget.
     pub retry_percent: u32,
--- a/crates/clementinepond_decide/src/roster/assign.rs
+++ b/crates/clementinepond_decide/src/roster/assign.rs
@@ -32,7 +32,8 @@
 /// release none.
 ///
 /// Only the member with the most parts releases some, so that members do not
-/// all write at once.
+/// all write at once. Deviations of less than a quarter of the even share are
+/// tolerated.
 pub(super) fn parts_after_release(
     table: &RosterTable,
     own: &VmId,
--- a/crates/clementinepond_decide/src/roster/contact.rs
+++ b/crates/clementinepond_decide/src/roster/contact.rs
@@ -1,18 +1,18 @@
 //! Decides whether this VM may use the parts that its table assigns to it.
 //!
-//! A VM that is missing from the platform's list for the hold-off is assumed to
-//! have stopped. A VM that was paused for longer than the validity may have
-//! been removed in the meantime. It uses no parts until it has either written
-//! the table itself, which makes a remover's conditional update fail, or been
-//! in contact with members after the settle time, which brings it their
-//! updates.
+//! A VM that is missing from the platform's list and not seen for the hold-offs
+//! is assumed to have stopped and is removed. A VM that was paused for longer
+//! than `validity` may therefore have been removed in the meantime. It uses no
+//! parts until it has either written the table itself, which makes the remover's
+//! conditional update fail, or been in contact with members after the `settle`
+//! time, which brings it their updates.
 
 use super::{ContactRule, MembershipStage, RosterMutation, RosterState};
 use clementinepond_types::{LocalTime, PartCount, VmId};
 
 impl RosterState {
-    /// Records that the process runs, and suspends the use of parts after a
-    /// pause.
+    /// Records that the process runs, and suspends the use of parts if it has
+    /// expired.
     pub(super) fn record_run(&mut self, now: LocalTime) {
         let expiry = self.valid_until();
         if self.own_entry().is_some()
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Returns whether this VM should write its table as proof of contact.
+    /// Returns whether this VM should write the table to prove contact: the use of parts
+    /// is suspended, or the required contact expires within half of `validity`.
     pub(super) fn needs_contact(&self, now: LocalTime) -> bool {
         let soon = now + self.settings.validity.fraction(1, 2);
         self.suspended.is_some() || self.contact_expiry() < soon
@@ -55,8 +56,8 @@
             .map_or(0, |object| object.value.members.len().saturating_sub(1))
     }
 
-    /// Returns the time until which contact with this many members, or with the
-    /// platform, is recent enough.
+    /// Returns the time until which contact with `needed` members, at least 1, or with
+    /// the platform is recent enough.
     fn contact_until(&self, needed: usize) -> LocalTime {
         let Some(object) = self.own_table() else {
             return LocalTime::ORIGIN;
@@ -97,6 +98,7 @@
         }
     }
 
+    /// Ends the suspension after contact with enough peers since the settle time.
     fn end_suspension(&mut self) {
         let Some(since) = self.suspended else {
             return;
--- a/crates/clementinepond_decide/src/roster/effect.rs
+++ b/crates/clementinepond_decide/src/roster/effect.rs
@@ -9,7 +9,7 @@
 /// Parts that this VM may use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsableParts {
-    /// Number that grows when parts or share change.
+    /// Number that increases when `parts` or `share` change.
     pub change: u64,
     /// Epoch of the table that assigns the parts.
     pub epoch: Epoch,
@@ -81,7 +81,7 @@
     ListVms,
     /// Allows the use of these parts and no others. Parts gained start with
     /// empty buckets. After each new `change`, the answer is `PartsStopped`
-    /// once no grant or loan beyond these parts is left.
+    /// once no grant or loan that exceeds these parts is left.
     UseParts(UsableParts),
     /// Reports that the tables or the live members changed.
     MembersChanged {
--- a/crates/clementinepond_decide/src/roster/event.rs
+++ b/crates/clementinepond_decide/src/roster/event.rs
@@ -1,4 +1,4 @@
-//! Events that the roster handles.
+//! Events of the roster.
 
 use super::{RosterMessage, RosterTable, ShareTable, UpdateNonce, WatchAnswer};
 use crate::configuration::ConfigurationDigest;
@@ -25,7 +25,7 @@
     pub state: VmPresence,
 }
 
-/// Event that the roster handles.
+/// Event of the roster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RosterEvent {
     /// Periodic work is due; sent at least 4 times per heartbeat period.
@@ -52,9 +52,10 @@
     SharesRead(ReadReply<ShareTable>),
     /// An update of the fleet shares was answered.
     SharesStored(StoreReply<ShareTable>),
-    /// A read of the platform's list ended; none when no answer came.
+    /// A read of the platform's list ended; `None` when no answer came.
     VmsListed(Option<Vec<ListedVm>>),
-    /// No grant or loan beyond the `UseParts` with this number is left.
+    /// No grant or loan is left that exceeds the parts and share of the `UseParts` with
+    /// this number.
     PartsStopped {
         /// Number of the change in `UseParts`.
         change: u64,
--- a/crates/clementinepond_decide/src/roster/exchange.rs
+++ b/crates/clementinepond_decide/src/roster/exchange.rs
@@ -18,7 +18,7 @@
 /// Most unacknowledged probes that are tracked.
 const MAX_PENDING_PROBES: usize = 64;
 
-/// Sends the probes of one round.
+/// Sends the probes of one round, and a request to join if this VM is not a member.
 pub(super) fn drive_round(
     state: &mut RosterState,
     now: LocalTime,
@@ -35,7 +35,9 @@
     request_join(state, now, effects);
 }
 
-/// Returns the members to probe this round.
+/// Returns the members to probe in this round: the next ones in the probe order, the
+/// other relay candidates if this VM is one, and one member of each other data centre
+/// if it is a relay.
 fn round_targets(state: &RosterState, now: LocalTime) -> BTreeSet<VmId> {
     let mut targets = BTreeSet::new();
     let others = &state.probe_order;
@@ -61,6 +63,7 @@
         .collect()
 }
 
+/// Returns the other relay candidates; empty if this VM is not a candidate.
 fn candidate_peers(state: &RosterState, now: LocalTime) -> Vec<VmId> {
     let mut candidates = relay_candidates(state, now);
     if !candidates.contains(&state.own.vm) {
@@ -227,7 +230,7 @@
     }
 }
 
-/// Returns whether the peer knows no newer table of the own data centre.
+/// Returns whether the peer is in the own data centre and knows no newer table of it.
 fn is_current(state: &RosterState, heartbeat: &PeerHeartbeat) -> bool {
     let own = &state.own.data_centre;
     heartbeat.data_centre == *own
--- a/crates/clementinepond_decide/src/roster/identity.rs
+++ b/crates/clementinepond_decide/src/roster/identity.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Identifies one update by one VM process; no two updates share it.
+/// Identifies one update of a table; unique among all VM processes.
 #[derive(
     Debug, Display, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/clementinepond_decide/src/roster/last_seen.rs
+++ b/crates/clementinepond_decide/src/roster/last_seen.rs
@@ -1,7 +1,8 @@
 //! Times at which members were last seen.
 //!
-//! VMs exchange the time since then as an age, in quarter seconds rounded up,
-//! so that a stopped member does not appear more recent with each hop.
+//! VMs exchange the time since then as an age in quarter seconds. It is rounded up,
+//! so that a stopped member does not seem to have been seen later with each VM that
+//! forwards its age.
 
 use super::{LastSeenList, RosterTable};
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan, VmId};
@@ -9,16 +10,17 @@
 
 /// Unit of an age, in microseconds.
 const AGE_UNIT_MICROS: u64 = 250_000;
-/// Age that means unknown.
+/// Age that stands for unknown or for more than 63.5 s.
 const AGE_UNKNOWN: u8 = u8::MAX;
 
-/// Converts the time since `time` to an age.
+/// Converts the time since `time` to an age in quarter seconds, rounded up.
 pub(super) fn age_of(time: LocalTime, now: LocalTime) -> u8 {
     let units = now.since(time).micros().div_ceil(AGE_UNIT_MICROS);
     u8::try_from(units).unwrap_or(AGE_UNKNOWN)
 }
 
-/// Converts an age to a time; none when the age is unknown.
+/// Converts an age to a time, at the earliest the clock's origin; `None` when the age
+/// is unknown.
 pub(super) fn time_of(age: u8, now: LocalTime) -> Option<LocalTime> {
     if age == AGE_UNKNOWN {
         return None;
@@ -116,7 +118,8 @@
     }
 }
 
-/// Looks up sorted names in sorted entries, in one pass over both.
+/// Returns the value of each name in `entries`; names and entries must be sorted by
+/// name, and are read in one pass.
 fn paired<'a, T>(
     names: impl Iterator<Item = &'a VmId>,
     entries: impl Iterator<Item = (&'a VmId, T)>,
--- a/crates/clementinepond_decide/src/roster/message.rs
+++ b/crates/clementinepond_decide/src/roster/message.rs
@@ -20,11 +20,11 @@
 pub struct LastSeenList {
     /// Version of the table that defines the order.
     pub version: ObjectVersion,
-    /// Quarter seconds since each member was last seen; 255 when longer or
-    /// unknown.
+    /// Quarter seconds since each member was last seen, rounded up; 255 when that is
+    /// more than 254 or unknown.
     pub ages: Vec<u8>,
-    /// One bit per member, set when it uses no more than the fleet share of
-    /// this version.
+    /// One bit per member, lowest bit of the first byte first, set when the member
+    /// uses no more than the fleet share in this version.
     pub complying: Vec<u8>,
 }
 
@@ -33,7 +33,7 @@
 pub struct RelayContact {
     /// Name of the relay.
     pub vm: VmId,
-    /// Quarter seconds since the answer; 255 when longer or unknown.
+    /// Quarter seconds since the answer, rounded up; 255 when that is more than 254.
     pub age: u8,
 }
 
@@ -44,16 +44,16 @@
     pub data_centre: DataCentreId,
     /// Process of the sender.
     pub incarnation: IncarnationId,
-    /// Address of the sender; none when the receiver can take it from a table.
+    /// Address of the sender; `None` when the receiver can find it in a table.
     pub address: Option<Box<str>>,
     /// Versions of the tables that the sender has.
     pub rosters: Vec<RosterDigest>,
-    /// When the sender last saw the members of its data centre; none while it
-    /// knows no table.
+    /// Time since the sender's members were last seen; `None` while the sender knows
+    /// no table of its data centre.
     pub last_seen: Option<LastSeenList>,
     /// Relays of the sender's data centre with recent platform contact.
     pub relay_contacts: Vec<RelayContact>,
-    /// Digest of the sender's configuration; none before it has one.
+    /// Digest of the sender's configuration; `None` before it has one.
     pub configuration: Option<ConfigurationDigest>,
 }
 
--- a/crates/clementinepond_decide/src/roster/mod.rs
+++ b/crates/clementinepond_decide/src/roster/mod.rs
@@ -1,18 +1,18 @@
 //! Roster: the VMs of a data centre and the parts that they hold.
 //!
 //! The platform stores one table per data centre. A VM uses only the parts that
-//! the newest table known to it assigns to its own incarnation. Parts leave a
-//! VM in two ways only: the VM writes its own release after it stopped using
-//! them, or another VM removes it after a hold-off. A VM with an old table
+//! the newest table known to it assigns to its own incarnation. A VM loses parts
+//! in two ways only: it writes their release after it stopped using them, or
+//! another VM removes it from the table after a hold-off. A VM with an old table
 //! therefore never uses more than the platform's table assigns to it.
 //!
-//! The share of the fleet that a data centre holds moves by the same rule: a
-//! data centre releases a portion only after each of its members has stopped
-//! using it, and takes only what no data centre holds.
+//! The share of the fleet that a data centre holds follows the same rule: a data
+//! centre releases a portion only after each of its members has stopped using it,
+//! and takes only what no data centre holds.
 //!
 //! Heartbeats are probes and their acknowledgements. They carry table versions,
 //! the time since each member was last seen, and configuration digests, so that
-//! a bounded number of messages informs every VM about all others.
+//! a VM learns about all others although it probes only a few per round.
 
 mod assign;
 mod contact;
--- a/crates/clementinepond_decide/src/roster/plan.rs
+++ b/crates/clementinepond_decide/src/roster/plan.rs
@@ -1,9 +1,9 @@
 //! Plans the next update of the own table.
 //!
-//! Any member writes its own release. Only a relay adds other VMs and removes
-//! those that are gone, so that members do not race. Unheld parts are
-//! distributed by relays, and by VMs that join, release parts, shut down or
-//! restore a missing table.
+//! Any member writes its own release. Only a relay adds other VMs, removes those
+//! that have stopped and changes the fleet share, so that members do not conflict.
+//! Unheld parts are distributed by relays, and by VMs that join, release parts,
+//! shut down or restore a missing table.
 
 use super::assign::{assign_unheld, parts_after_release};
 use super::share::plan_own_share;
@@ -55,8 +55,8 @@
     }
 }
 
-/// Returns whether a member writes an unchanged table to confirm that it still
-/// runs.
+/// Returns whether this member writes the table even if unchanged, to prove contact
+/// with the platform.
 fn wants_confirmation(state: &RosterState, now: LocalTime) -> bool {
     state.stage == MembershipStage::Member && state.needs_contact(now)
 }
@@ -83,9 +83,9 @@
     }
 }
 
-/// Returns when this process may be added to the table.
-///
-/// Grants of an earlier process under the same name must have expired.
+/// Returns when this process may be added to the table: at once, or after the rejoin
+/// hold-off if the table lists an earlier process of the same VM, whose grants must
+/// have expired.
 pub(super) fn joinable_at(state: &RosterState, table: &RosterTable) -> LocalTime {
     let is_replacing = table.members.contains_key(&state.own.vm);
     if is_replacing && !state.mutated(RosterMutation::JoinWithoutHoldOff) {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns whether no grant beyond these parts is left.
+/// Returns whether no grant that exceeds these parts is left.
 fn has_stopped(state: &RosterState, keep: PartCount) -> bool {
     if state.mutated(RosterMutation::ReleaseBeforeStop) {
         return true;
@@ -153,7 +153,8 @@
 
 /// Returns whether grants of an earlier process of the VM have expired.
 ///
-/// The sender may request to join only because its own table is old.
+/// The sender does not wait for this if its own table is too old to list that
+/// process.
 fn may_add(state: &RosterState, table: &RosterTable, vm: &VmId, request: &JoinRequest) -> bool {
     !table.members.contains_key(vm)
         || request.running >= state.settings.rejoin_hold_off()
@@ -173,8 +174,8 @@
         .retain(|vm, _| *vm == state.own.vm || !is_gone(state, vm, now));
 }
 
-/// Returns whether a VM has been missing from the list and silent for the
-/// hold-off.
+/// Returns whether a VM has been missing from the platform's list for
+/// `removal_absence` and not seen for `removal_silence`.
 fn is_gone(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
     let Some(&absent) = state.absent.get(vm) else {
         return false;
@@ -189,7 +190,8 @@
     is_absent && (is_silent || state.mutated(RosterMutation::RemoveDespiteHeartbeat))
 }
 
-/// Distributes unheld parts to live members.
+/// Distributes unheld parts to this VM, live members and members that requested to join,
+/// except those that are leaving.
 fn distribute_unheld(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
     let is_writer = state.relay
         || state.is_leaving()
@@ -214,8 +216,8 @@
     assign_unheld(table, &eligible);
 }
 
-/// Starts the release of a portion when this VM holds clearly more than its
-/// even share.
+/// Starts the release of a portion of this VM's parts when `parts_after_release`
+/// requires one; checked once per `balance_period`.
 pub(super) fn consider_release(state: &mut RosterState, now: LocalTime) {
     let is_ready = state.stage == MembershipStage::Member
         && state.suspended.is_none()
--- a/crates/clementinepond_decide/src/roster/reduce.rs
+++ b/crates/clementinepond_decide/src/roster/reduce.rs
@@ -15,6 +15,7 @@
     let was_suspended = state.suspended.is_some();
     state.record_run(now);
     if state.suspended.is_some() && !was_suspended {
+        // Absence from before the suspension must not lead to a removal after it.
         state.absent.clear();
     }
     apply(state, event, now, &mut effects);
@@ -78,7 +79,8 @@
     }
 }
 
-/// Announces the usable parts when they or their deadline changed.
+/// Announces the usable parts when parts, share or epoch changed, the deadline moved to an
+/// earlier time, or it moved to a later one by at least a heartbeat period.
 fn announce_parts(state: &mut RosterState, effects: &mut Vec<RosterEffect>) {
     let parts = state.usable_parts();
     let share = state.usable_share();
--- a/crates/clementinepond_decide/src/roster/relay.rs
+++ b/crates/clementinepond_decide/src/roster/relay.rs
@@ -1,4 +1,5 @@
-//! Relay: the VM that calls the platform on behalf of its data centre.
+//! Relay: the VM that watches the tables and reads the platform's list of VMs on behalf
+//! of its data centre.
 
 use super::exchange::relay_candidates;
 use super::state::WatchStage;
@@ -35,8 +36,8 @@
     watch_tables(state, now, effects);
 }
 
-/// Returns whether this VM is the best relay candidate that reaches the
-/// platform.
+/// Returns whether this VM is a relay candidate and no better candidate is an active
+/// relay. Its own contact with the platform is not considered.
 fn should_relay(state: &RosterState, now: LocalTime) -> bool {
     if state.own_entry().is_none() || state.is_leaving() {
         return false;
@@ -51,6 +52,7 @@
         .all(|vm| !is_active_relay(state, vm, now))
 }
 
+/// Returns whether a member was seen recently and has recent contact with the platform.
 fn is_active_relay(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
     let settings = &state.settings;
     let has_platform = state
--- a/crates/clementinepond_decide/src/roster/rendezvous.rs
+++ b/crates/clementinepond_decide/src/roster/rendezvous.rs
@@ -26,7 +26,7 @@
     members
 }
 
-/// Returns the member with the largest weight for the key; none for an empty
+/// Returns the member with the largest weight for the key; `None` for an empty
 /// table.
 #[must_use]
 pub fn first_member<'a>(table: &'a RosterTable, key: &str) -> Option<&'a VmId> {
--- a/crates/clementinepond_decide/src/roster/settings.rs
+++ b/crates/clementinepond_decide/src/roster/settings.rs
@@ -7,7 +7,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ContactRule {
-    /// None for a VM that ran without pause; one contact after a pause.
+    /// No contact for a VM that ran without pause; contact with the platform or one
+    /// member after a pause.
     #[default]
     AfterPause,
     /// Contact with the platform or any other member within the validity.
@@ -25,7 +26,7 @@
     None,
     /// Releases parts that are still in use.
     ReleaseBeforeStop,
-    /// Removes a VM as soon as the list lacks it.
+    /// Removes a VM as soon as the platform's list lacks it.
     RemoveWithoutHoldOff,
     /// Removes a VM although its heartbeats arrive.
     RemoveDespiteHeartbeat,
@@ -71,7 +72,7 @@
     pub settle: TimeSpan,
     /// Upper bound of the lag of the platform's list.
     pub list_lag: TimeSpan,
-    /// Upper bound of the lifetime of a grant or loan on parts.
+    /// Upper bound of the lifetime of a grant or loan of parts.
     pub loan_span: TimeSpan,
     /// Upper bound of the difference of two clocks' rates, in parts per
     /// million; hold-offs are extended by twice this value.
@@ -125,18 +126,17 @@
 impl RosterSettings {
     /// Returns how long the platform's list must lack a VM before its removal.
     ///
-    /// A VM that has just started may be missing from the list for the list's
-    /// lag.
+    /// A VM that has just started may be missing from the list for `list_lag`, and
+    /// the list is read every `list_period`.
     #[must_use]
     pub fn removal_absence(&self) -> TimeSpan {
         self.with_drift_margin(self.list_lag + self.list_period)
     }
 
-    /// Returns how long a VM must be silent before its removal.
+    /// Returns how long a VM must not be seen before its removal.
     ///
-    /// A VM that stops running may use its parts for the validity, its grants
-    /// last for one loan, and an update about it may be on its way for the
-    /// settle time.
+    /// A VM that stops running may use its parts for `validity`, its grants last
+    /// for `loan_span`, and an update about it reaches all members within `settle`.
     #[must_use]
     pub fn removal_silence(&self) -> TimeSpan {
         self.with_drift_margin(self.validity + self.loan_span + self.settle)
--- a/crates/clementinepond_decide/src/roster/share.rs
+++ b/crates/clementinepond_decide/src/roster/share.rs
@@ -2,8 +2,8 @@
 //!
 //! The fleet's table states what each data centre holds. To lower its share, a
 //! data centre first lowers it in its own table and marks the table as
-//! releasing. When every member complies, a relay lowers the share in the
-//! fleet's table, and then the mark is cleared. A data centre raises the share
+//! releasing. When every member uses no more than the lowered share, a relay
+//! lowers the share in the fleet's table, and then the mark is cleared. A data centre raises the share
 //! in its own table only without a mark and from a fleet table at least as new
 //! as the one that cleared the last mark. The members of a data centre
 //! therefore never use more than the fleet's table assigns to it.
@@ -113,6 +113,8 @@
     fleet == Some(target) && table.share == target && !table.share_releasing
 }
 
+/// Returns the next content of the fleet's table; `None` when a read is needed first or
+/// when the own share in it does not change.
 fn plan_fleet_shares(state: &mut RosterState) -> Option<ShareTable> {
     let target = state.share_target?;
     let table = state.own_table()?.value.clone();
@@ -188,6 +190,7 @@
     end_call(state, is_updated, now);
 }
 
+/// Ends the call; the next one may start at once if `is_updated`.
 fn end_call(state: &mut RosterState, is_updated: bool, now: LocalTime) {
     let retry = if is_updated {
         now
@@ -205,7 +208,8 @@
     is_newer
 }
 
-/// Records in the own bit whether this VM uses no more than the table's share.
+/// Records this VM as complying when it uses no more than the table's share. A newer
+/// table clears the record.
 pub(super) fn record_compliance(state: &mut RosterState) {
     let complies = state.own_entry().is_some()
         && state.outstanding_share <= state.usable_share()
--- a/crates/clementinepond_decide/src/roster/state.rs
+++ b/crates/clementinepond_decide/src/roster/state.rs
@@ -15,13 +15,13 @@
 /// Stage of this VM's membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MembershipStage {
-    /// Not a member yet, or no longer one.
+    /// The newest known table does not list this process; it requests to join.
     Joining,
     /// The newest known table lists this process.
     Member,
     /// A graceful shutdown waits for the release of the parts.
     Releasing,
-    /// The release is known to have taken effect.
+    /// The table no longer lists this process, or it shut down before it was a member.
     Released,
 }
 
@@ -30,8 +30,8 @@
 pub(super) struct PartRelease {
     /// Parts that the VM keeps.
     pub(super) keep: PartCount,
-    /// Table version that the latest update of the release was conditional on;
-    /// none before the first update.
+    /// Table version that the latest update since the start of the release was
+    /// conditional on; `None` before the first one.
     pub(super) written_on: Option<ObjectVersion>,
 }
 
@@ -78,7 +78,8 @@
     pub(super) own: OwnIdentity,
     pub(super) started: LocalTime,
     pub(super) last_run: LocalTime,
-    /// Time since which parts are unused after a pause; none when in use.
+    /// Time since which parts are unused because their use expired during a pause or
+    /// without contact; `None` when they may be used.
     pub(super) suspended: Option<LocalTime>,
     pub(super) stage: MembershipStage,
     pub(super) rosters: BTreeMap<DataCentreId, VersionedObject<RosterTable>>,
@@ -98,8 +99,8 @@
     /// Send time of the latest probe that each member acknowledged without a
     /// newer table.
     pub(super) contacts: BTreeMap<VmId, LocalTime>,
-    /// Time of this VM's latest effective write to the table, or of its
-    /// joining.
+    /// Send time of this VM's latest update of the table that took effect, or the time
+    /// at which it learned that it is a member.
     pub(super) platform_contact: Option<LocalTime>,
     pub(super) probes: BTreeMap<u64, SentProbe>,
     pub(super) probe_number: u64,
@@ -110,7 +111,7 @@
     pub(super) absent: BTreeMap<VmId, LocalTime>,
     /// VMs that the platform's list marks as leaving.
     pub(super) leaving: BTreeSet<VmId>,
-    /// Latest join request of each VM, with its time of receipt.
+    /// Latest join request of each VM that is not yet a member, with its time of receipt.
     pub(super) joiners: BTreeMap<VmId, (JoinRequest, LocalTime)>,
     pub(super) release: Option<PartRelease>,
     pub(super) next_balance: LocalTime,
@@ -222,8 +223,8 @@
         self.shares.as_ref()
     }
 
-    /// Returns the parts and share last announced for use; none before the
-    /// first announcement.
+    /// Returns the parts and share last announced for use; `None` before the first
+    /// announcement.
     #[must_use]
     pub const fn announced(&self) -> Option<&UsableParts> {
         self.announced.as_ref()
--- a/crates/clementinepond_decide/src/roster/store.rs
+++ b/crates/clementinepond_decide/src/roster/store.rs
@@ -78,7 +78,8 @@
     }
 }
 
-/// Returns whether the table is unknown and no peer is likely to send it.
+/// Returns whether the table must be read: it is unknown, not known to be missing, and
+/// the seeds, if any, had one heartbeat period to send it.
 fn wants_read(state: &RosterState, now: LocalTime) -> bool {
     let peers_had_time = state.settings.seeds.is_empty()
         || now.since(state.started) >= state.settings.heartbeat_period;
@@ -270,7 +271,7 @@
     }
 }
 
-/// Records the members with a new entry, and the writer of the update, as seen.
+/// Records the members with a new entry, and the writer of the update, as seen now.
 fn record_activity(state: &mut RosterState, table: &RosterTable, now: LocalTime) {
     let known = state
         .rosters
@@ -290,8 +291,8 @@
     state.last_seen.record(&table.holder, now);
 }
 
-/// Ends a release once a later table version shows whether its update took
-/// effect.
+/// Ends a release when a table newer than the base of its latest update is known, which
+/// shows whether the update took effect.
 fn finish_release(state: &mut RosterState, version: ObjectVersion) {
     let is_decided = |release: &PartRelease| release.written_on.is_some_and(|base| version > base);
     if state.release.as_ref().is_some_and(is_decided) {
--- a/crates/clementinepond_decide/src/roster/table.rs
+++ b/crates/clementinepond_decide/src/roster/table.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Parts that make up a data centre, and shares that make up the fleet.
+/// Number of parts of a data centre, and of parts of the fleet.
 pub const WHOLE_PARTS: u32 = 1_024;
 
 /// Entry of a VM in the table of its data centre.
@@ -28,8 +28,8 @@
     pub epoch: Epoch,
     /// Share of the fleet's limits that members may use, of 1,024.
     pub share: PartCount,
-    /// Version of the fleet shares from which the share was last changed or
-    /// confirmed.
+    /// Version of the fleet shares on which the last change of `share` or
+    /// `share_releasing` was based.
     pub share_version: ObjectVersion,
     /// Whether the share was lowered here and not yet in the fleet's table.
     pub share_releasing: bool,
--- a/crates/clementinepond_decide/src/roster/watch.rs
+++ b/crates/clementinepond_decide/src/roster/watch.rs
@@ -9,7 +9,7 @@
 pub struct WatchChange<T> {
     /// Name of the object.
     pub name: Box<str>,
-    /// New state of the object; none when it was deleted.
+    /// New state of the object; `None` when it was deleted.
     pub object: Option<VersionedObject<T>>,
 }
 
@@ -17,8 +17,8 @@
 /// was too old.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WatchAnswer<T> {
-    /// Changes after the requested version; empty when the wait ended without
-    /// one.
+    /// Changes after the requested version, or all objects of a list; empty when a
+    /// watch ended without a change.
     Changes {
         /// Version from which to watch next.
         version: ObjectVersion,
--- a/crates/clementinepond_decide/src/route/choose.rs
+++ b/crates/clementinepond_decide/src/route/choose.rs
@@ -51,7 +51,8 @@
             .collect()
     }
 
-    /// Returns whether an endpoint reported within `report_timeout`.
+    /// Returns whether the latest report of an endpoint arrived within `report_timeout`;
+    /// before the first report, whether the clock is that close to its origin.
     #[must_use]
     pub fn is_fresh(&self, state: &EndpointState, now: LocalTime) -> bool {
         now.since(state.reported_at) <= self.settings.report_timeout
--- a/crates/clementinepond_decide/src/route/mod.rs
+++ b/crates/clementinepond_decide/src/route/mod.rs
@@ -5,8 +5,8 @@
 //! the prefix is cached, the transfer of an adapter that is not resident, and
 //! the distance to its data centre. Reports lag, so if every VM took the best
 //! score, all would send to the same endpoint. The choice is made between two
-//! random candidates instead, and a random third one that caches the prefix, if
-//! there is any.
+//! random candidates instead and, if any candidates cache the prefix, a random
+//! one of those.
 
 mod choose;
 mod endpoint_state;
--- a/crates/clementinepond_decide/src/route/prefix_index.rs
+++ b/crates/clementinepond_decide/src/route/prefix_index.rs
@@ -2,7 +2,7 @@
 //!
 //! Cache events arrive late and with gaps. A gap may hide evictions, so the
 //! older half of the entries is dropped after a gap. A prefix that is wrongly
-//! taken for cached only costs prefill time and never changes an answer.
+//! assumed to be cached only costs prefill time and never changes an answer.
 
 use derive_more::{Display, FromStr};
 use fnv::FnvHasher;
@@ -27,7 +27,7 @@
         Self(hash)
     }
 
-    /// Returns the hash of the first 256 bytes of a prompt, as engines compute it.
+    /// Returns the FNV hash of the first 256 bytes of a prompt, as engines compute it.
     #[must_use]
     pub fn of_prompt(prompt: &str) -> Self {
         let bytes = prompt.as_bytes();
--- a/crates/clementinepond_decide/src/route/query.rs
+++ b/crates/clementinepond_decide/src/route/query.rs
@@ -28,7 +28,7 @@
     pub prefix: Option<PrefixHash>,
     /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Endpoints that failed this request; never used.
+    /// Endpoints that must not be used, because they failed this request.
     pub excluded: BTreeSet<EndpointId>,
     /// Endpoints that are used only when no other serves the target.
     pub avoided: BTreeSet<EndpointId>,
@@ -39,7 +39,7 @@
 /// Time after which a caller may retry a request whose target has no replica.
 const NO_REPLICA_RETRY: TimeSpan = TimeSpan::from_secs(2);
 
-/// Error of the choice of an endpoint.
+/// Reason why no endpoint was chosen.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum RouteError {
     /// No endpoint serves the target.
--- a/crates/clementinepond_decide/src/route/table.rs
+++ b/crates/clementinepond_decide/src/route/table.rs
@@ -72,7 +72,7 @@
             .is_some_and(|state| state.take_report(report, now))
     }
 
-    /// Records a request sent to an endpoint, whose prefix is then taken for cached.
+    /// Records a request sent to an endpoint, which is then assumed to cache its prefix.
     pub fn record_sent(&mut self, endpoint: &EndpointId, prefix: Option<PrefixHash>) {
         let limit = self.settings.prefix_limit;
         if let Some(state) = self.endpoints.get_mut(endpoint) {
--- a/crates/clementinepond_decide/tests/crash_guard.rs
+++ b/crates/clementinepond_decide/tests/crash_guard.rs
@@ -1,4 +1,4 @@
-//! The crash guard on one VM and on several VMs that exchange messages.
+//! Tests of the crash guard on several VMs that exchange messages.
 
 #![expect(clippy::unwrap_used, reason = "test helpers may panic")]
 
@@ -10,7 +10,8 @@
 use clementinepond_types::{EndpointId, Epoch, LocalTime, ObjectVersion, TimeSpan, VmId};
 use std::collections::VecDeque;
 
-/// VMs with a shared verdict object; messages and platform replies arrive at once.
+/// VMs with a shared verdict object; messages and platform replies arrive without
+/// delay.
 struct Fleet {
     nodes: Vec<(VmId, CrashState)>,
     settings: CrashSettings,
--- a/crates/clementinepond_decide/tests/limit.rs
+++ b/crates/clementinepond_decide/tests/limit.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// One VM in each data centre; messages are delivered without delay.
+/// Fleet with one VM in each data centre; messages are delivered without delay.
 struct TestFleet {
     states: Vec<LimitState>,
     now: u64,
@@ -195,8 +195,8 @@
     assert!(usable_at_once(LimitMutation::ReserveWithoutHold) > 1_000);
 }
 
-/// Returns the tokens that a lender gains when a token loan expires that was
-/// spent and whose return was lost.
+/// Returns the tokens that a lender gains until a token loan has expired whose tokens
+/// were spent and whose return was lost.
 fn gained_by_expiry(mutation: LimitMutation) -> u64 {
     let mut fleet = TestFleet::start(2, mutation);
     fleet.apply(0, request(1, 900, 0, 0));
@@ -212,6 +212,7 @@
 
 #[test]
 fn expired_token_loan_is_reclaimed_without_tokens() {
+    // Refill of the lender's slice, half of 100 tokens per second, in at most 7 s.
     let refill = 50 * 7;
     assert!(gained_by_expiry(LimitMutation::None) <= refill);
     assert!(gained_by_expiry(LimitMutation::ReclaimFull) > refill);
--- a/crates/clementinepond_decide/tests/request.rs
+++ b/crates/clementinepond_decide/tests/request.rs
@@ -1,4 +1,4 @@
-//! Reducer of requests: retries, ends and charged tokens.
+//! Tests of the request reducer: retries, ends and charged tokens.
 
 #![allow(clippy::unwrap_used, reason = "test helpers may panic")]
 
@@ -219,15 +219,15 @@
     let mut table = table(u32::MAX);
     let first = dispatch(&mut table, profile(true, false));
     let mut attempt = first;
-    let mut retries = 0;
+    let mut attempts = 0;
     while table.get(TICKET).is_some() {
         table.record_endpoint(TICKET, endpoint());
         end_attempt(&mut table, attempt, BROKEN, at(10));
         attempt = attempt.next();
-        retries += 1;
-        assert!(retries < 1_000);
+        attempts += 1;
+        assert!(attempts < 1_000);
     }
-    assert_eq!(retries, 51);
+    assert_eq!(attempts, 51, "the first attempt and 50 retries");
 }
 
 #[test]
--- a/crates/clementinepond_decide/tests/roster.rs
+++ b/crates/clementinepond_decide/tests/roster.rs
@@ -1,4 +1,5 @@
-//! Tests of membership on one VM, with the safety check that each case needs.
+//! Tests of membership on one VM. Some cases run again with a safety check disabled,
+//! to show that they detect its absence.
 
 #![expect(
     clippy::unwrap_used,
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn unanswered_creation_is_found_by_next_read() {
+fn table_with_unanswered_creation_is_unused_until_read() {
     for (mutation, parts) in [
         (RosterMutation::None, 0),
         (RosterMutation::UseOnUnknown, 1_024),
@@ -290,7 +291,7 @@
     }
 }
 
-/// Another VM may have joined and removed a VM that has no contact.
+/// While a VM has no contact, another one may have joined and removed it.
 #[test]
 fn any_peer_rule_requires_contact_from_sole_member() {
     for (mutation, parts) in [
@@ -316,7 +317,7 @@
 }
 
 #[test]
-fn shutdown_releases_all_parts_after_they_stopped() {
+fn shutdown_releases_parts_after_grants_ended() {
     let mut state = state("vm-1", RosterSettings::default());
     let mut now = LocalTime::ORIGIN;
     receive_table(
--- a/crates/clementinepond_decide/tests/route.rs
+++ b/crates/clementinepond_decide/tests/route.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint and the prefix index.
+//! Tests of the choice of an endpoint and of the prefix index.
 
 #![allow(clippy::unwrap_used, reason = "test helpers may panic")]
 
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn endpoint_in_backoff_is_chosen_only_as_last_resort() {
+fn endpoint_in_backoff_is_chosen_only_without_alternative() {
     let mut table = table(2);
     table.record_sent(&endpoint(0), None);
     table.record_ended(&endpoint(0), true, LocalTime::ORIGIN);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn endpoint_without_recent_report_is_skipped() {
+fn endpoint_without_recent_report_is_avoided() {
     let mut table = table(2);
     let later = LocalTime::ORIGIN + TimeSpan::from_secs(60);
     table.take_report(&endpoint(1), report(2, 50), later);
