--- a/crates/clementinepond_decide/src/crash/guard.rs
+++ b/crates/clementinepond_decide/src/crash/guard.rs
@@ -196,7 +196,7 @@
         status,
     });
     if status == LossStatus::Alive {
-        state.suspects.forget_loss(loss);
+        state.suspects.remove_loss(loss);
         return Vec::new();
     }
     let suspects = state.suspects.suspects_of(loss);
@@ -285,7 +285,7 @@
     for report in losses {
         state.losses.merge(&report.loss, report.status, now);
         if report.status == LossStatus::Alive {
-            state.suspects.forget_loss(&report.loss);
+            state.suspects.remove_loss(&report.loss);
         }
         affected.extend(state.suspects.suspects_of(&report.loss));
     }
--- a/crates/clementinepond_decide/src/crash/suspect.rs
+++ b/crates/clementinepond_decide/src/crash/suspect.rs
@@ -142,7 +142,7 @@
     }
 
     /// Removes a dismissed loss from all requests.
-    pub(crate) fn forget_loss(&mut self, loss: &EndpointLoss) {
+    pub(crate) fn remove_loss(&mut self, loss: &EndpointLoss) {
         for entry in self.entries.values_mut() {
             entry.losses.remove(loss);
         }
--- a/crates/clementinepond_decide/src/limit/effect.rs
+++ b/crates/clementinepond_decide/src/limit/effect.rs
@@ -52,7 +52,7 @@
         ticket: TicketId,
         /// Reason for the refusal.
         reason: RefusalReason,
-        /// Time until the request could be admitted; none when waiting does not
+        /// Time until the request could be admitted; `None` when waiting does not
         /// help.
         retry_after: Option<TimeSpan>,
     },
--- a/crates/clementinepond_decide/src/limit/message.rs
+++ b/crates/clementinepond_decide/src/limit/message.rs
@@ -41,7 +41,7 @@
     /// Number of the poll.
     pub number: PollNumber,
     /// Poll whose loan is in use; the borrower no longer uses any earlier loan.
-    /// None while no loan is confirmed.
+    /// `None` while no loan is confirmed.
     pub using: Option<PollNumber>,
 }
 
--- a/crates/clementinepond_decide/src/roster/plan.rs
+++ b/crates/clementinepond_decide/src/roster/plan.rs
@@ -27,7 +27,7 @@
     plan_own(state, &mut table, now);
     if state.relay {
         add_joiners(state, &mut table, now);
-        remove_gone(state, &mut table, now);
+        remove_stopped_members(state, &mut table, now);
         plan_own_share(state, &mut table);
     }
     distribute_unheld(state, &mut table, now);
@@ -161,7 +161,7 @@
         || state.mutated(RosterMutation::JoinWithoutHoldOff)
 }
 
-fn remove_gone(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
+fn remove_stopped_members(state: &RosterState, table: &mut RosterTable, now: LocalTime) {
     let list_limit = state.settings.list_period + state.settings.list_period;
     let is_list_fresh = state
         .listed_at
@@ -171,12 +171,12 @@
     }
     table
         .members
-        .retain(|vm, _| *vm == state.own.vm || !is_gone(state, vm, now));
+        .retain(|vm, _| *vm == state.own.vm || !is_removable(state, vm, now));
 }
 
 /// Returns whether a VM has been missing from the platform's list for
 /// `removal_absence` and not seen for `removal_silence`.
-fn is_gone(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
+fn is_removable(state: &RosterState, vm: &VmId, now: LocalTime) -> bool {
     let Some(&absent) = state.absent.get(vm) else {
         return false;
     };
