--- a/crates/clementinepond_decide/src/crash/verdict.rs
+++ b/crates/clementinepond_decide/src/crash/verdict.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Verdict on one request, as VMs exchange it.
+/// Verdict on one request, or its release, as VMs exchange it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Fingerprint of the request.
@@ -46,7 +46,8 @@
 }
 
 impl VerdictEntry {
-    /// Returns the merge order; a release supersedes the verdict of the same round.
+    /// Returns the key by which verdicts on one request are ordered; a release is newer
+    /// than the verdict of the same round.
     fn order(&self) -> (u32, bool) {
         (self.round, self.released)
     }
@@ -59,8 +60,8 @@
 }
 
 impl VerdictTable {
-    /// Returns the time for which a request is still blocked and counts the refusal;
-    /// `None` if the request is not blocked.
+    /// Counts the refusal of a blocked request and returns the time until its verdict
+    /// expires; `None` if the request is not blocked.
     pub(crate) fn refused_for(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -80,8 +81,8 @@
             .is_some_and(|entry| !entry.released && now < entry.expiry)
     }
 
-    /// Returns a verdict that blocks a request and is newer than any known one; the
-    /// caller merges it.
+    /// Returns a verdict that blocks a request and is newer than the known one on it;
+    /// the caller merges it.
     pub(crate) fn block(
         &self,
         fingerprint: RequestFingerprint,
@@ -126,7 +127,7 @@
         now: LocalTime,
     ) -> bool {
         let time_left = verdict.time_left.min(settings.verdict_lifetime);
-        let new = VerdictEntry {
+        let candidate = VerdictEntry {
             round: verdict.round,
             released: verdict.released,
             lost: verdict.lost,
@@ -134,15 +135,15 @@
             refused_calls: 0,
         };
         let known = self.entries.get(&verdict.fingerprint);
-        let is_older = known.is_some_and(|known| known.order() >= new.order());
+        let is_older = known.is_some_and(|known| known.order() >= candidate.order());
         if is_older && settings.mutation != CrashMutation::ForgetRelease {
             return false;
         }
-        self.entries.insert(verdict.fingerprint, new);
+        self.entries.insert(verdict.fingerprint, candidate);
         if self.entries.len() > settings.verdict_limit {
-            let first = self.entries.iter().min_by_key(|(_, entry)| entry.expiry);
-            if let Some(first) = first.map(|(fingerprint, _)| *fingerprint) {
-                self.entries.remove(&first);
+            let expiring_first = self.entries.iter().min_by_key(|(_, entry)| entry.expiry);
+            if let Some(fingerprint) = expiring_first.map(|(fingerprint, _)| *fingerprint) {
+                self.entries.remove(&fingerprint);
             }
         }
         true
--- a/crates/clementinepond_decide/src/limit/periodic.rs
+++ b/crates/clementinepond_decide/src/limit/periodic.rs
@@ -10,8 +10,8 @@
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Smallest share of a channel's outstanding capacity that is returned before
-/// half of the loan's lifetime has passed: numerator.
+/// Numerator of the smallest share of a channel's outstanding capacity that is
+/// returned while at least half of the loan's lifetime is left.
 const RETURN_SHARE_NUMERATOR: u64 = 1;
 /// Denominator of that share.
 const RETURN_SHARE_DENOMINATOR: u64 = 2;
@@ -34,17 +34,17 @@
 
 fn report_all(state: &mut LimitState, now: LocalTime, outbox: &mut EffectOutbox) {
     let half = state.token_loan_lifetime().fraction(1, 2);
-    let ids: Vec<AccountId> = state.channels.iter().cloned().collect();
+    let ids: Vec<AccountId> = state.channel_accounts.iter().cloned().collect();
     for id in ids {
         let Some(account) = state.accounts.get_mut(&id) else {
             continue;
         };
         account.advance(now, &state.settings);
         drop_unanswered(account, now, &state.settings);
-        let most = returnable(&id, account, &state.rights, &state.settings);
-        let due = return_unused(account, &most, half, now);
+        let returnable = returnable_capacity(&id, account, &state.rights, &state.settings);
+        let due = return_unused(account, &returnable, half, now);
         if account.has_no_channels() {
-            state.channels.remove(&id);
+            state.channel_accounts.remove(&id);
         }
         for (peer, is_answered) in due {
             if is_answered {
@@ -61,9 +61,9 @@
         .retain(|_, channel| !channel.is_unanswered(now, settings.lot_span));
 }
 
-/// Returns how much capacity each channel may return without leaving token
-/// loans of this VM to others unbacked.
-fn returnable(
+/// Returns how much borrowed capacity may go back in each channel, by lender, so that
+/// the token loans of this VM to others remain backed.
+fn returnable_capacity(
     id: &AccountId,
     account: &AccountState,
     rights: &PartRights,
@@ -85,11 +85,11 @@
         .collect()
 }
 
-/// Returns unused capacity and tokens; lists the VMs to report to, and whether
-/// each of them will answer.
+/// Gives unused capacity and tokens back to the lenders. Returns the VMs to report to,
+/// each with whether it will answer.
 fn return_unused(
     account: &mut AccountState,
-    most: &BTreeMap<VmId, TokenCount>,
+    returnable: &BTreeMap<VmId, TokenCount>,
     half: TimeSpan,
     now: LocalTime,
 ) -> Vec<(VmId, bool)> {
@@ -98,8 +98,8 @@
     let bucket = &mut account.bucket;
     let mut returned = TokenCount::ZERO;
     for (peer, channel) in &mut account.borrowed {
-        let most = most.get(peer).copied().unwrap_or_default();
-        let left = most.saturating_sub(returned);
+        let limit = returnable.get(peer).copied().unwrap_or_default();
+        let left = limit.saturating_sub(returned);
         let capacity = channel.outstanding().min(bucket.free_capacity()).min(left);
         let level = if is_idle {
             bucket
@@ -131,7 +131,8 @@
     due
 }
 
-/// Returns whether this VM has no running or waiting request and lends nothing.
+/// Returns whether the start wait is over, no request is running or waiting, and
+/// this VM lends nothing.
 fn may_release(state: &LimitState) -> bool {
     let is_settled = |account: &AccountState| account.lent.is_empty() && account.queue.is_empty();
     let is_waited = state.is_started() || state.settings.has(LimitMutation::ReleaseEarly);
--- a/crates/clementinepond_decide/src/limit/reduce.rs
+++ b/crates/clementinepond_decide/src/limit/reduce.rs
@@ -1,4 +1,4 @@
-//! Reducer of the limits.
+//! Reducer of rate limits.
 
 use super::admit;
 use super::event::PartFraction;
@@ -39,8 +39,8 @@
     outbox.flush(state, now)
 }
 
-/// Stops lending. Without a roster so far, starts the wait for grants of an
-/// earlier process of this VM.
+/// Stops lending. If no roster has arrived yet, also starts the wait for grants of an
+/// earlier process of this VM to expire.
 fn release(state: &mut LimitState, now: LocalTime) {
     state.releasing = true;
     if state.start_wait == StartWait::Unknown {
@@ -126,7 +126,7 @@
     for (id, limit) in table.limits {
         let account = state.accounts.entry(id.clone()).or_insert_with(|| {
             let mut account = super::account::AccountState::new(&id, now);
-            state.rights.locate(&mut account);
+            state.rights.assign_owners(&mut account);
             account
         });
         account.limit = Some(limit);
--- a/crates/clementinepond_decide/src/roster/share.rs
+++ b/crates/clementinepond_decide/src/roster/share.rs
@@ -2,8 +2,8 @@
 //!
 //! The fleet's table states what each data centre holds. To lower its share, a
 //! data centre first lowers it in its own table and marks the table as
-//! releasing. When every member complies, a relay lowers the share in the
-//! fleet's table, and then the mark is cleared. A data centre raises the share
+//! releasing. When every member uses no more than the lowered share, a relay
+//! lowers the share in the fleet's table, and then the mark is cleared. A data centre raises the share
 //! in its own table only without a mark and from a fleet table at least as new
 //! as the one that cleared the last mark. The members of a data centre
 //! therefore never use more than the fleet's table assigns to it.
@@ -36,7 +36,7 @@
 }
 
 /// Plans the change of the share in the own table.
-pub(super) fn plan_share(state: &RosterState, table: &mut RosterTable) {
+pub(super) fn plan_own_share(state: &RosterState, table: &mut RosterTable) {
     let (Some(target), Some(shares)) = (state.share_target, &state.shares) else {
         return;
     };
@@ -77,7 +77,7 @@
         return;
     }
     let until = now + state.settings.answer_limit;
-    match plan_shares(state) {
+    match plan_fleet_shares(state) {
         Some(table) => {
             effects.push(RosterEffect::StoreShares {
                 if_version: shares_version(state),
@@ -113,7 +113,9 @@
     fleet == Some(target) && table.share == target && !table.share_releasing
 }
 
-fn plan_shares(state: &mut RosterState) -> Option<ShareTable> {
+/// Returns the next content of the fleet's table; `None` when a read is needed first or
+/// when the own share in it does not change.
+fn plan_fleet_shares(state: &mut RosterState) -> Option<ShareTable> {
     let target = state.share_target?;
     let table = state.own_table()?.value.clone();
     let data_centre = table.data_centre.clone();
@@ -152,7 +154,7 @@
 
 /// Applies the answer to a read.
 pub(super) fn shares_read(state: &mut RosterState, reply: ReadReply<ShareTable>, now: LocalTime) {
-    let found = match reply {
+    let is_updated = match reply {
         ReadReply::Found(object) => {
             state.shares_missing = false;
             adopt_shares(state, object)
@@ -163,7 +165,7 @@
         }
         ReadReply::Unavailable => false,
     };
-    end_call(state, found, now);
+    end_call(state, is_updated, now);
 }
 
 /// Applies the answer to an update.
@@ -172,7 +174,7 @@
     reply: StoreReply<ShareTable>,
     now: LocalTime,
 ) {
-    let found = match (reply, &state.share_call) {
+    let is_updated = match (reply, &state.share_call) {
         (StoreReply::Stored { version }, ShareCall::Storing { table, .. }) => {
             let object = VersionedObject {
                 version,
@@ -185,9 +187,10 @@
         // of the two takes effect; its conflict brings the newer table.
         _ => false,
     };
-    end_call(state, found, now);
+    end_call(state, is_updated, now);
 }
 
+/// Ends the call; the next one may start at once if `is_updated`.
 fn end_call(state: &mut RosterState, is_updated: bool, now: LocalTime) {
     let retry = if is_updated {
         now
@@ -205,7 +208,8 @@
     is_newer
 }
 
-/// Records in the own bit whether this VM uses no more than the table's share.
+/// Records this VM as complying when it uses no more than the table's share. A newer
+/// table clears the record.
 pub(super) fn record_compliance(state: &mut RosterState) {
     let complies = state.own_entry().is_some()
         && state.outstanding_share <= state.usable_share()
