--- a/crates/clementinepond_decide/src/claim/assignment.rs
+++ b/crates/clementinepond_decide/src/claim/assignment.rs
@@ -7,7 +7,8 @@
 use super::state::{ClaimState, RosterView};
 use clementinepond_types::{DataCentreId, Epoch, LocalTime, VmId};
 
-/// Adopts a newer roster, ends the runs of VMs that left it and reassigns shards.
+/// Adopts a newer roster, ends the runs of removed VMs in held shards and reassigns
+/// shards.
 pub(crate) fn roster_changed(
     state: &mut ClaimState,
     data_centre: DataCentreId,
@@ -117,8 +118,8 @@
     effects
 }
 
-/// Drops closed shards whose stored object is complete. Returns `Released` when a
-/// stopping VM drops its last shard.
+/// Drops closed shards whose stored object is complete. Returns `Released` if the VM
+/// is stopping and this drops its last shard.
 pub(crate) fn finish_release(state: &mut ClaimState) -> Vec<ClaimEffect> {
     let before = state.shards.len();
     state.shards.retain(|_, entry| match entry {
--- a/crates/clementinepond_decide/src/claim/object.rs
+++ b/crates/clementinepond_decide/src/claim/object.rs
@@ -23,7 +23,7 @@
 pub(crate) const RUNNING_RECORD_MAX_SIZE: usize = 400;
 /// Upper bound of the size of everything else in an object, in characters.
 pub(crate) const OBJECT_OVERHEAD: usize = 4_096;
-/// Number of batches per retention window.
+/// Divisor of the retention of undated keys that gives the time covered by one batch.
 const BATCHES_PER_RETENTION: u64 = 16;
 
 /// Process that may hold copies of claims which the object lacks.
@@ -82,7 +82,7 @@
     pub batches: Vec<RecordBatch>,
 }
 
-/// Encodes ended claims in batches; the remaining retention is rounded up.
+/// Encodes ended claims in batches; rounds the remaining retention up to a batch.
 pub(crate) fn encode_batches(
     settled: &BTreeMap<ClaimKey, SettledRecord>,
     retention: TimeSpan,
--- a/crates/clementinepond_decide/src/claim/owner/commit.rs
+++ b/crates/clementinepond_decide/src/claim/owner/commit.rs
@@ -14,7 +14,7 @@
 use clementinepond_types::{LocalTime, ObjectVersion, TimeSpan};
 use std::collections::BTreeMap;
 
-/// Starts ownership with a write of the new term and the collected records.
+/// Starts ownership with a write of the new term and the collected copies.
 pub(crate) fn activate(
     tenure: ShardTenure<Collecting>,
     context: &mut OwnerContext<'_>,
@@ -59,7 +59,8 @@
         || is_urgent(stage, context)
 }
 
-/// Returns whether a change is still not durable after the wait for replicas.
+/// Returns whether a change is still not durable after `copy_timeout`; without
+/// confirmed witnesses no time is allowed, since copies cannot make it durable.
 fn is_urgent(stage: &Holding, context: &OwnerContext<'_>) -> bool {
     let copy_wait = if stage.witnesses_confirmed {
         context.settings.copy_timeout
@@ -258,8 +259,8 @@
     if own && write == Some(found.value.write) {
         stored(&mut tenure, found.version, context);
     } else if own || stage.version == Some(found.version) {
-        // This write is not stored: the object is unchanged, or an earlier write of
-        // this process was stored late.
+        // This write is not known to be stored: the object is unchanged, or holds
+        // another write of this process in this term.
         stage.version = Some(found.version);
         retry(stage, context.now);
     } else if stage.version > Some(found.version) {
@@ -279,7 +280,8 @@
     stage.dirty_since.get_or_insert(now);
 }
 
-/// Applies a stored write: its changes are durable and its replicas count.
+/// Applies a stored write: its changes are durable, and acknowledgements of its
+/// replicas count.
 fn stored(
     tenure: &mut ShardTenure<Holding>,
     version: ObjectVersion,
--- a/crates/clementinepond_decide/src/claim/owner/expiry.rs
+++ b/crates/clementinepond_decide/src/claim/owner/expiry.rs
@@ -10,8 +10,8 @@
 /// Time between two sweeps for expired runs and records.
 const SWEEP_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
 
-/// Ends unreported runs and removes records past their retention and an expired
-/// quarantine.
+/// Marks expired runs as unknown, and removes records past their retention and an
+/// expired quarantine.
 pub(crate) fn sweep(tenure: &mut ShardTenure<Holding>, context: &mut OwnerContext<'_>) {
     let now = context.now;
     if now < tenure.stage.next_sweep {
@@ -62,7 +62,7 @@
         .collect()
 }
 
-/// Ends the runs of a VM that left the roster.
+/// Marks the runs of a VM that left the roster as unknown.
 pub(crate) fn holder_lost(
     tenure: &mut ShardTenure<Holding>,
     vm: &VmId,
--- a/crates/clementinepond_decide/src/claim/owner/granting.rs
+++ b/crates/clementinepond_decide/src/claim/owner/granting.rs
@@ -65,7 +65,7 @@
 }
 
 /// Returns the answer from the key's record. The outer `None` means that the key is
-/// free, the inner one that the answer follows when the claim is durable.
+/// free, the inner one that the requester is answered once its claim is durable.
 fn known_reply(
     stage: &mut Holding,
     holder: &RunHolder,
@@ -135,7 +135,7 @@
     Some(ClaimRefusal::Full)
 }
 
-/// Returns whether a key may be older than the quarantine that is in effect.
+/// Returns whether a quarantine is in effect and the key may be older than its start.
 fn is_quarantined(stage: &Holding, date: KeyDate, context: &OwnerContext<'_>) -> bool {
     let Some(quarantine) = stage.quarantine else {
         return false;
--- a/crates/clementinepond_decide/src/claim/owner/shard.rs
+++ b/crates/clementinepond_decide/src/claim/owner/shard.rs
@@ -11,7 +11,7 @@
 use clementinepond_types::{Epoch, LocalTime, ObjectVersion, VmId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Data and effect list for a step on an owned shard.
+/// Inputs of a step on an owned shard, and the effects that it emits.
 pub(crate) struct OwnerContext<'a> {
     pub(crate) settings: &'a ClaimSettings,
     pub(crate) vm: &'a VmId,
@@ -43,7 +43,7 @@
 /// Stage in which the object is read, or the read is to be repeated.
 #[derive(Debug, Clone)]
 pub(crate) struct Reading {
-    /// When the read started.
+    /// When the last read started, or failed.
     pub(crate) read_at: LocalTime,
     /// When to read again; `NEVER` while a read is outstanding.
     pub(crate) retry_at: LocalTime,
@@ -72,8 +72,11 @@
     /// Object of the former term.
     pub(crate) former: Option<ShardObject>,
     pub(crate) witnesses: BTreeMap<ShardWitness, WitnessProgress>,
+    /// Most final of the collected copies of each claim.
     pub(crate) copies: BTreeMap<ClaimKey, CopyRecord>,
+    /// VMs that accepted to be replicas in the new term.
     pub(crate) enlisted: BTreeMap<VmId, VmIncarnation>,
+    /// When the collection started.
     pub(crate) started_at: LocalTime,
     pub(crate) next_send: LocalTime,
 }
@@ -101,6 +104,7 @@
     pub(crate) sequence: u64,
     pub(crate) changed_at: LocalTime,
     pub(crate) state: ActiveState,
+    /// Whether the last change is stored or acknowledged by every replica.
     pub(crate) durable: bool,
     /// Replicas that acknowledged the last change.
     pub(crate) copied_to: BTreeSet<VmId>,
@@ -175,6 +179,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Holding {
     pub(crate) term: u64,
+    /// Last known version of the stored object; `None` before the first one.
     pub(crate) version: Option<ObjectVersion>,
     /// Whether the stored object is known to name this VM as the owner.
     pub(crate) activated: bool,
@@ -243,7 +248,7 @@
     }
 }
 
-/// Ownership of a shard by this VM, in stage `S` of its life cycle.
+/// Takeover or ownership of a shard by this VM, in stage `S` of its life cycle.
 #[derive(Debug, Clone)]
 pub(crate) struct ShardTenure<S> {
     pub(crate) shard: ShardNumber,
@@ -260,7 +265,7 @@
     }
 }
 
-/// Owned shard in any stage of its life cycle.
+/// Shard that this VM owns or takes over, in any stage of its life cycle.
 #[derive(Debug, Clone)]
 pub(crate) enum ShardEntry {
     Reading(ShardTenure<Reading>),
--- a/crates/clementinepond_decide/src/claim/owner/takeover.rs
+++ b/crates/clementinepond_decide/src/claim/owner/takeover.rs
@@ -99,7 +99,8 @@
     }
 }
 
-/// Activates the shard once its records are collected, or sends the due messages.
+/// Starts ownership once collecting and enlisting are finished, or sends the messages
+/// that are due.
 fn takeover_step(
     mut tenure: ShardTenure<Collecting>,
     context: &mut OwnerContext<'_>,
@@ -235,7 +236,7 @@
     }
 }
 
-/// Builds the owned shard from the former object and the witnesses' records.
+/// Builds the owned shard from the former object and the collected copies.
 pub(crate) fn assemble(stage: Collecting, context: &OwnerContext<'_>) -> Holding {
     let now = context.now;
     let all_lost = !stage.witnesses.is_empty()
@@ -320,6 +321,8 @@
 }
 
 /// Returns a new quarantine if all witnesses are lost, or the rest of the former one.
+///
+/// The rest counts as started now, since the object does not store the former start.
 fn quarantine(
     former: Option<&ShardObject>,
     read_at: LocalTime,
--- a/crates/clementinepond_decide/src/claim/settings.rs
+++ b/crates/clementinepond_decide/src/claim/settings.rs
@@ -43,8 +43,8 @@
     pub replica_count: usize,
     /// Longest time from a change of a shard to the write of its object.
     pub commit_interval: TimeSpan,
-    /// Shortest time between two writes of one shard; also the retry delay of failed
-    /// reads.
+    /// Shortest time between the starts of two writes of one shard; also the retry
+    /// delay of failed reads.
     pub commit_gap: TimeSpan,
     /// Time after which copies are sent again, and after which a change that is not
     /// durable is written without waiting for `commit_interval`.
@@ -59,7 +59,8 @@
     pub ask_limit: TimeSpan,
     /// Time after the dispatch deadline from which a run without a report is unknown.
     pub run_limit: TimeSpan,
-    /// Time for which an unacknowledged report is resent.
+    /// Time for which an unacknowledged report is resent, and for which a call that
+    /// did not run still answers a late grant.
     pub report_limit: TimeSpan,
     /// Retention of claims under undated keys; `ask_limit` is added.
     pub retention: TimeSpan,
--- a/crates/clementinepond_decide/src/claim/shard_step.rs
+++ b/crates/clementinepond_decide/src/claim/shard_step.rs
@@ -1,4 +1,5 @@
-//! Steps on owned shards, and keeping the claims of a shard whose ownership was lost.
+//! Steps on owned shards. The claims of a shard whose ownership is lost are kept as
+//! copies.
 
 use super::effect::ClaimEffect;
 use super::key::ShardNumber;
@@ -8,7 +9,7 @@
 use super::state::ClaimState;
 use clementinepond_types::{LocalTime, VmId};
 
-/// Runs one step on a shard and stores the resulting stage.
+/// Runs one step on a shard and stores the resulting entry.
 ///
 /// A step returns its tenure as an error when the VM lost the ownership. The claims
 /// are then kept as a replica's, and the takeover starts again if the roster still
@@ -123,6 +124,8 @@
 }
 
 /// Ends the ownership of a shard that an owner of a newer term takes over.
+///
+/// The shard is not taken over again before shards are next assigned.
 pub(crate) fn step_down(state: &mut ClaimState, shard: ShardNumber, term: u64, now: LocalTime) {
     let Some(ShardEntry::Holding(tenure)) = state.shards.get(&shard) else {
         return;
--- a/crates/clementinepond_decide/src/claim/ticket.rs
+++ b/crates/clementinepond_decide/src/claim/ticket.rs
@@ -4,7 +4,7 @@
 use super::message::RunReport;
 use clementinepond_types::LocalTime;
 
-/// Stage in which the call waits for the owner's answer.
+/// Stage in which the call waits for the grant or another final answer of the owner.
 #[derive(Debug, Clone)]
 pub(crate) struct Requesting {
     pub(crate) next_send: LocalTime,
--- a/crates/clementinepond_decide/src/configuration/content.rs
+++ b/crates/clementinepond_decide/src/configuration/content.rs
@@ -16,7 +16,7 @@
         return false;
     }
     state.newest_digest = Some(ContentDigest::of(&object.value));
-    state.confirmed = None;
+    state.confirmed_at = None;
     if let Some(before) = state.newest.replace(object) {
         state.history.push_front(before);
         state.history.truncate(state.settings.history);
@@ -25,7 +25,7 @@
 }
 
 /// Emits `Apply` for the newest version, once per version. After a start it waits until
-/// the platform has answered or `boot_wait` has passed.
+/// a read has returned the platform's version or `boot_wait` has passed.
 pub(super) fn offer(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -95,9 +95,9 @@
     })
 }
 
-/// Processes an update from a peer, and forwards it unchanged.
+/// Forwards an update from a peer unchanged, and adopts it if it is newer.
 ///
-/// Requests the version again if its text cannot be obtained from the update.
+/// Requests the sender's newest version if the text cannot be obtained from the update.
 pub(super) fn update_received(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -181,7 +181,8 @@
     }
 }
 
-/// Requests a peer's version if its digest announces a newer one.
+/// Requests a peer's version if its digest announces a newer one, and merges the age
+/// if the versions are equal.
 pub(super) fn compare_versions(
     state: &mut ConfigurationState,
     from: &VmId,
@@ -211,7 +212,7 @@
     });
 }
 
-/// Takes over a peer's confirmation of the newest version if it is later.
+/// Adopts the time of a peer's confirmation of the newest version if it is later.
 fn merge_age(state: &mut ConfigurationState, age: Option<u16>, now: LocalTime) {
     let Some(age) = age else {
         return;
@@ -219,5 +220,5 @@
     // The peer rounds down to seconds, so 1 s is added.
     let micros = (u64::from(age) + 1) * 1_000_000;
     let at = LocalTime::from_micros(now.micros().saturating_sub(micros));
-    state.confirmed = state.confirmed.max(Some(at));
+    state.confirmed_at = state.confirmed_at.max(Some(at));
 }
--- a/crates/clementinepond_decide/src/configuration/delta.rs
+++ b/crates/clementinepond_decide/src/configuration/delta.rs
@@ -7,7 +7,7 @@
 use clementinepond_types::ObjectVersion;
 use serde::{Deserialize, Serialize};
 
-/// Difference from which a text is made with an earlier one.
+/// Difference that turns an earlier text into a new one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContentDelta {
     /// Version of the earlier text.
--- a/crates/clementinepond_decide/src/configuration/digest.rs
+++ b/crates/clementinepond_decide/src/configuration/digest.rs
@@ -19,7 +19,8 @@
     }
 }
 
-/// XOR of the hashes of withdrawn keys, independent of their order.
+/// XOR of the hashes of withdrawn keys and their recorded versions, independent of
+/// their order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WithdrawnDigest([u8; DIGEST_LENGTH]);
@@ -41,7 +42,8 @@
     digest
 }
 
-/// Summary of a VM's configuration and withdrawn keys, compared with the own.
+/// Summary of a VM's configuration and withdrawn keys, which peers compare with
+/// their own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationDigest {
     /// Newest version of the VM; zero for none.
--- a/crates/clementinepond_decide/src/configuration/reduce.rs
+++ b/crates/clementinepond_decide/src/configuration/reduce.rs
@@ -90,7 +90,7 @@
             withdrawal::received(state, from, &entries, &subtree, effects);
         }
         ConfigurationMessage::WithdrawalsAcknowledged { entries } => {
-            withdrawal::copy_confirmed(state, &from, &entries);
+            withdrawal::copy_acknowledged(state, &from, &entries);
         }
         ConfigurationMessage::WithdrawalsRequest { groups } => {
             withdrawal::answer_request(state, from, &groups, effects);
--- a/crates/clementinepond_decide/src/configuration/state.rs
+++ b/crates/clementinepond_decide/src/configuration/state.rs
@@ -56,16 +56,18 @@
     pub(super) in_force: Option<ObjectVersion>,
     pub(super) refused: Option<ObjectVersion>,
     /// When the platform was last known to hold no version newer than `newest`.
-    pub(super) confirmed: Option<LocalTime>,
-    /// Until when the first `Apply` waits for the platform and peers.
+    pub(super) confirmed_at: Option<LocalTime>,
+    /// Until when the first `Apply` waits for the platform's version.
     pub(super) boot_until: LocalTime,
-    /// Whether no version was applied since the start.
+    /// Whether no `Apply` effect was emitted since the start.
     pub(super) booting: bool,
     pub(super) requested: Option<RequestedVersion>,
     /// When peers may be sent another request for withdrawn keys.
     pub(super) next_withdrawals_request: LocalTime,
+    /// Read of the configuration after the start.
     pub(super) read: PlatformCall,
-    /// Whether the read after the start found no configuration; it is not repeated.
+    /// Whether the read after the start found no configuration; the read is then
+    /// not repeated.
     pub(super) read_missing: bool,
     pub(super) content_watch: PlatformCall,
     /// Version after which the configuration is watched.
@@ -117,7 +119,7 @@
             offered: None,
             in_force: None,
             refused: None,
-            confirmed: None,
+            confirmed_at: None,
             boot_until,
             booting: true,
             requested: None,
@@ -162,7 +164,7 @@
             in_force: self.in_force,
             newest: self.newest.as_ref().map(|object| object.version),
             refused: self.refused,
-            age: self.confirmed.map(|at| now.since(at)),
+            age: self.confirmed_at.map(|at| now.since(at)),
             withdrawn: self.withdrawn.len(),
             unrecorded: self.withdrawn.unrecorded().len(),
         }
@@ -180,7 +182,7 @@
     /// Returns the digest for heartbeats.
     #[must_use]
     pub fn digest(&self, now: LocalTime) -> ConfigurationDigest {
-        let age = self.confirmed.map(|at| now.since(at).millis() / 1_000);
+        let age = self.confirmed_at.map(|at| now.since(at).millis() / 1_000);
         ConfigurationDigest {
             version: self.newest_version(),
             content: self.newest_digest,
--- a/crates/clementinepond_decide/src/configuration/tree.rs
+++ b/crates/clementinepond_decide/src/configuration/tree.rs
@@ -15,7 +15,7 @@
     pub(super) subtree: Vec<VmId>,
 }
 
-/// Divides receivers into at most `fan_out` branches of even size.
+/// Divides receivers into at most `fan_out` branches whose sizes differ by at most one.
 pub(super) fn branches(receivers: &[VmId], fan_out: usize) -> Vec<TreeBranch> {
     if receivers.is_empty() {
         return Vec::new();
--- a/crates/clementinepond_decide/src/configuration/watch.rs
+++ b/crates/clementinepond_decide/src/configuration/watch.rs
@@ -26,7 +26,8 @@
 }
 
 impl PlatformCall {
-    /// Returns whether the next call may be sent.
+    /// Returns whether the next call may be sent, also because the last one counts as
+    /// lost.
     pub(super) fn is_due(self, now: LocalTime) -> bool {
         let (Self::Idle { retry_at: due } | Self::Waiting { expires_at: due }) = self;
         now >= due
@@ -87,7 +88,7 @@
     let retry_at = match reply {
         ReadReply::Found(object) => {
             state.record_contact(now);
-            // The platform holds the newest version, so peers need not be awaited.
+            // The platform holds the newest version, so the first `Apply` need not wait.
             state.boot_until = state.boot_until.min(now);
             adopt_from_platform(state, object, now, effects);
             now
@@ -117,7 +118,7 @@
         push_to_members(state, effects);
     }
     if version == state.newest_version() {
-        state.confirmed = Some(now);
+        state.confirmed_at = Some(now);
     }
 }
 
@@ -147,12 +148,12 @@
     state.content_watch = PlatformCall::Idle { retry_at };
 }
 
-/// Advances the watch, and confirms the newest version if no larger one exists.
+/// Advances the watch, and confirms the newest version if the watch has reached it.
 fn confirm_watched_version(state: &mut ConfigurationState, version: ObjectVersion, now: LocalTime) {
     state.content_from = state.content_from.max(version);
     state.content_too_old = false;
     if state.newest.is_some() && state.newest_version() <= version {
-        state.confirmed = Some(now);
+        state.confirmed_at = Some(now);
     }
 }
 
--- a/crates/clementinepond_decide/src/configuration/withdrawal.rs
+++ b/crates/clementinepond_decide/src/configuration/withdrawal.rs
@@ -1,8 +1,9 @@
 //! Withdrawn keys: receiving, forwarding, recording and removing them.
 //!
 //! A withdrawn key is removed from the set only when the configuration in force
-//! lacks the key and is newer than the record that contains it. The digest of this
-//! VM then announces that configuration too, so peers keep refusing the key.
+//! lacks the key and is newer than the record that contains it. Removals are not
+//! sent to peers: each VM removes a key by its own configuration. A VM that obtains
+//! the set from this one also learns of that configuration from the same digest.
 
 use super::tree::{branches, rotated};
 use super::watch::PlatformCall;
@@ -142,7 +143,7 @@
 }
 
 /// Counts the acknowledgement of another VM for each request whose keys it covers.
-pub(super) fn copy_confirmed(
+pub(super) fn copy_acknowledged(
     state: &mut ConfigurationState,
     from: &VmId,
     entries: &[WithdrawalEntry],
@@ -209,7 +210,8 @@
     }
 }
 
-/// Requests a check of which recorded keys the configuration in force still contains.
+/// Requests a check of which keys recorded before the configuration in force it still
+/// contains.
 pub(super) fn check_keys(state: &ConfigurationState, effects: &mut Vec<ConfigurationEffect>) {
     let Some(version) = state.in_force else {
         return;
@@ -247,8 +249,8 @@
     }
 }
 
-/// Writes the record if keys are unrecorded, or reads it after a write with unknown
-/// outcome. Only a relay does so, and only once it has listed the record.
+/// Writes the record if keys are unrecorded, or reads it if its content is uncertain.
+/// Only a relay does so, and only once it has listed the record.
 pub(super) fn drive_record(
     state: &mut ConfigurationState,
     now: LocalTime,
@@ -290,7 +292,7 @@
         .map_or_else(ObjectVersion::default, |object| object.version)
 }
 
-/// Merges the keys of the platform's record unless its version is known already.
+/// Merges the keys of the platform's record unless a version as new is known.
 pub(super) fn adopt_record(
     state: &mut ConfigurationState,
     object: VersionedObject<WithdrawalRecord>,
@@ -363,7 +365,7 @@
             adopt_record(state, object, effects);
         }
         (StoreReply::Conflict(Some(object)), _) => adopt_record(state, object, effects),
-        // Outcome unknown: a read shows whether the keys are recorded.
+        // Outcome unknown or record missing: a read shows whether the keys are recorded.
         _ => state.record_uncertain = true,
     }
     state.record_call = PlatformCall::Idle { retry_at: now };
--- a/crates/clementinepond_decide/src/plan/catalogue.rs
+++ b/crates/clementinepond_decide/src/plan/catalogue.rs
@@ -101,7 +101,10 @@
 
 impl PlacementCatalogue {
     /// Returns whether the first data centre comes before the second in the model's
-    /// rendezvous order, by which data centres keep a copy.
+    /// rendezvous order.
+    ///
+    /// A data centre unloads the last copy of a hosted model only if one before it has the
+    /// model ready.
     #[must_use]
     pub fn precedes(&self, model: &ModelId, first: &DataCentreId, second: &DataCentreId) -> bool {
         let rank = |data_centre: &DataCentreId| {
--- a/crates/clementinepond_decide/src/plan/draining.rs
+++ b/crates/clementinepond_decide/src/plan/draining.rs
@@ -1,8 +1,8 @@
 //! Draining of copies before their unload.
 //!
 //! A copy is first withdrawn from routing and unloaded only after the drain time.
-//! Until the unload is ordered, each tick checks the last-copy rule again; a copy
-//! that has become the last one is returned to routing.
+//! Until then, each tick checks again that the copy is not the last ready one of a
+//! required model; such a copy is returned to routing.
 
 use super::planning::{has_other_ready_copy, required_copies};
 use super::{EndpointAction, HoldingKey, PlanMutation, PlanState, writing};
--- a/crates/clementinepond_decide/src/plan/endpoint_entry.rs
+++ b/crates/clementinepond_decide/src/plan/endpoint_entry.rs
@@ -20,7 +20,7 @@
     /// Largest order number used for the endpoint.
     pub last_number: OrderNumber,
     /// Order that a report must name, or a later one, to confirm the endpoint's
-    /// state; none if no barrier is outstanding.
+    /// state; none if it is confirmed or no barrier was sent yet.
     pub barrier: Option<OrderNumber>,
     /// Time from which another barrier may be sent, since the last one can no longer
     /// take effect.
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Accepts a report unless it is old; returns whether it was accepted.
+    /// Installs a report unless it is old; returns whether it was installed.
     pub fn accept(&mut self, report: EndpointReport, now: LocalTime) -> bool {
         let Some(current) = &self.report else {
             self.install(report, now);
@@ -74,8 +74,8 @@
         }
         // A report of a retired incarnation is accepted only if it names a newer order
         // than all reports before, which an old report cannot do.
-        let retired_incarnations = self.retired_incarnations.contains(&report.incarnation);
-        if retired_incarnations && report.last_order <= self.largest_order {
+        let is_retired = self.retired_incarnations.contains(&report.incarnation);
+        if is_retired && report.last_order <= self.largest_order {
             return false;
         }
         self.retired_incarnations.insert(current.incarnation);
--- a/crates/clementinepond_decide/src/plan/planner/draft.rs
+++ b/crates/clementinepond_decide/src/plan/planner/draft.rs
@@ -243,8 +243,8 @@
         });
     }
 
-    /// Returns the models by descending priority; among equals, those for which
-    /// this data centre ranks first come first.
+    /// Returns the models by descending priority; among equals, by ascending
+    /// rendezvous rank of this data centre.
     pub(super) fn by_priority(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.models.len()).collect();
         order.sort_by_key(|&index| {
--- a/crates/clementinepond_decide/src/plan/planner/load_assignment.rs
+++ b/crates/clementinepond_decide/src/plan/planner/load_assignment.rs
@@ -8,7 +8,8 @@
 use super::CopyState;
 use super::draft::DraftPlacement;
 
-/// Smallest share of an endpoint's capacity left by interference between models.
+/// Lower bound of the share of an endpoint's capacity that interference between
+/// models leaves.
 const MIN_CAPACITY_SHARE: f64 = 0.6;
 
 impl DraftPlacement<'_> {
--- a/crates/clementinepond_decide/src/plan/planner/mod.rs
+++ b/crates/clementinepond_decide/src/plan/planner/mod.rs
@@ -1,10 +1,11 @@
 //! The planner: a pure function from the view of all endpoints to moves.
 //!
 //! It starts from the current placement, including loads and unloads under way,
-//! and improves it one copy at a time, the most useful first. It keeps no state
-//! between plans: a change of several steps continues because the next plan finds
-//! the same best step. A copy is unloaded only to free memory, to change its
-//! version, to obey an exception, or because it is no longer hosted.
+//! and improves it one copy at a time: required copies first, then version changes,
+//! then copies for demand, the largest gain first, then copies in free memory. It
+//! keeps no state between plans: a change of several steps continues because the next
+//! plan finds the same best step. A copy is unloaded only to free memory, to change
+//! its version, to obey an exception, or because its model is no longer hosted.
 
 mod adapters;
 mod draft;
--- a/crates/clementinepond_decide/src/plan/planner/placement_option.rs
+++ b/crates/clementinepond_decide/src/plan/planner/placement_option.rs
@@ -34,7 +34,8 @@
     /// Returns whether a copy may be unloaded.
     ///
     /// It must be ready and not pinned, and the endpoints with other ready copies
-    /// must be as many as required and hold all of its adapters. A model of which
+    /// must be at least as many as required and hold all of its adapters. Its own
+    /// endpoint counts if another version is ready there. A model of which
     /// no copy is required may lose its only ready copy, adapters included.
     pub(super) fn removable(&self, model: usize, copy: usize) -> bool {
         let entry = &self.models[model];
@@ -115,7 +116,7 @@
     /// Returns loss, model index and copy index of each removable copy on an
     /// endpoint, in ascending order of loss.
     fn removal_candidates(&self, model: usize, slot: usize) -> Vec<(f64, usize, usize)> {
-        let mut removal_candidates: Vec<(f64, usize, usize)> = Vec::new();
+        let mut candidates: Vec<(f64, usize, usize)> = Vec::new();
         let mut seen: BTreeSet<usize> = BTreeSet::new();
         for &other in &self.slots[slot].models {
             if other == model || !seen.insert(other) {
@@ -123,12 +124,12 @@
             }
             for (index, copy) in self.models[other].copies.iter().enumerate() {
                 if copy.slot == slot && self.removable(other, index) {
-                    removal_candidates.push((self.removal_loss(other, index), other, index));
+                    candidates.push((self.removal_loss(other, index), other, index));
                 }
             }
         }
-        removal_candidates.sort_by(|left, right| left.0.total_cmp(&right.0));
-        removal_candidates
+        candidates.sort_by(|left, right| left.0.total_cmp(&right.0));
+        candidates
     }
 
     /// Keeps copies whose memory is not needed, starting with the largest loss.
--- a/crates/clementinepond_decide/src/plan/planner/stages.rs
+++ b/crates/clementinepond_decide/src/plan/planner/stages.rs
@@ -11,7 +11,8 @@
 /// The models with the largest weighted unserved load are tried.
 const MAX_REPLACEMENT_MODELS: usize = 8;
 
-/// Unloads copies that are no longer hosted or that an exception forbids.
+/// Unloads copies of models that are no longer hosted, and copies that an exception
+/// forbids.
 pub(super) fn unload_unwanted(draft: &mut DraftPlacement<'_>) {
     for (id, view) in &draft.problem.endpoints {
         for holding in view.holdings.iter().filter(|_| view.accepting) {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Places pinned copies and the smallest required number of copies.
+/// Places pinned copies, and copies up to the required number.
 pub(super) fn place_required(draft: &mut DraftPlacement<'_>) {
     for model in draft.by_priority() {
         let pins: Vec<(usize, Box<str>)> = draft.models[model]
@@ -263,7 +264,7 @@
 /// Replaces the best candidate if an option is better and worth its cost.
 ///
 /// The gain less the loss must reach a share of what a copy can carry, larger for
-/// each unload, and the gain must exceed the loss by a set factor.
+/// each unload, and the gain must be at least a set multiple of the loss.
 fn keep_if_better(
     draft: &DraftPlacement<'_>,
     model: usize,
@@ -333,7 +334,8 @@
     best.map(|(_, option)| option)
 }
 
-/// Places models with few copies in free memory, while the load budget lasts.
+/// Places models with fewer than `free_copies` copies in free memory, while the load
+/// budget lasts.
 pub(super) fn fill_free_memory(draft: &mut DraftPlacement<'_>) {
     for copies in 1..=draft.problem.tuning.free_copies {
         for model in draft.by_priority() {
--- a/crates/clementinepond_decide/src/plan/planning.rs
+++ b/crates/clementinepond_decide/src/plan/planning.rs
@@ -274,12 +274,12 @@
     let arriving = |state: &CopyState| *state == CopyState::Arriving;
     let loads = endpoints
         .values()
-        .flat_map(|planning| &planning.holdings)
+        .flat_map(|view| &view.holdings)
         .filter(|holding| arriving(&holding.state))
         .count();
     let adapters = endpoints
         .values()
-        .flat_map(|planning| planning.adapters.values())
+        .flat_map(|view| view.adapters.values())
         .filter(|state| arriving(state))
         .count();
     let open = share
@@ -293,8 +293,8 @@
     }
 }
 
-/// Returns whether another copy of the same model is ready on a confirmed endpoint
-/// that reports regularly; never for an adapter.
+/// Returns whether another copy of the same model, of any version, is ready on a
+/// confirmed endpoint whose report is not outdated; always false for an adapter.
 pub(super) fn has_other_ready_copy(
     state: &PlanState,
     endpoint: &EndpointId,
--- a/crates/clementinepond_decide/src/plan/writing.rs
+++ b/crates/clementinepond_decide/src/plan/writing.rs
@@ -12,7 +12,7 @@
 /// Number of renewals that fit into one lease.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// Most goals stored in the object, for operators to see after a takeover.
+/// Most goals stored in the object, for operators.
 const MAX_STORED_GOALS: usize = 16;
 
 /// Returns the time between two model loads at this data centre's rate.
