--- a/crates/clementinepond_decide/src/claim/shard_step.rs
+++ b/crates/clementinepond_decide/src/claim/shard_step.rs
@@ -66,7 +66,8 @@
         && tenure.stage.activated
     {
         // The stored object contains the copies that this VM held for the former
-        // owner.
+        // owner. The promise to acknowledge no older term is removed with them; until
+        // the shard is dropped, the term of this entry has the same effect.
         state.replicas.remove(&shard);
     }
     state.shards.insert(shard, entry);
--- a/crates/clementinepond_decide/src/configuration/withdrawal.rs
+++ b/crates/clementinepond_decide/src/configuration/withdrawal.rs
@@ -24,7 +24,8 @@
     deadline: LocalTime,
 }
 
-/// Processes an operator's withdrawal request.
+/// Processes an operator's withdrawal request: refuses it beyond the limit, or merges
+/// the keys and sends them to every VM.
 pub(super) fn requested(
     state: &mut ConfigurationState,
     request: u64,
--- a/crates/clementinepond_decide/src/plan/planner/stages.rs
+++ b/crates/clementinepond_decide/src/plan/planner/stages.rs
@@ -78,6 +78,10 @@
         .count()
 }
 
+/// Places a pinned copy, or reports that there is no memory for it.
+///
+/// Does nothing if the endpoint accepts no orders, is too small, is forbidden or
+/// holds the wanted version.
 fn place_pinned(draft: &mut DraftPlacement<'_>, model: usize, slot: usize, reason: Box<str>) {
     if !draft.may_place(model, slot) {
         return;
