--- a/crates/clementinepond_model/src/claim/calls.rs
+++ b/crates/clementinepond_model/src/claim/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their grants.
+//! Steps of calls that wait for their grants.
 
 use super::mutation::ClaimMutation;
 use super::state::ClaimState;
--- a/crates/clementinepond_model/src/claim/mod.rs
+++ b/crates/clementinepond_model/src/claim/mod.rs
@@ -1,14 +1,15 @@
-//! Claims: one key of one shard, its owner and a replica.
+//! Claims: one key of one shard, two VMs that may own the shard, and a replica.
 //!
-//! A call runs only after the owner granted its claim, and the owner grants a
-//! claim once it is durable: in the shard's object on the platform, or copied
-//! to the replica that the stored object names as a witness. A new owner
-//! reads the object, collects the records of one witness, which promises to
-//! acknowledge no older owner, and writes its term conditionally.
+//! A call runs only after the owner has granted its claim. The owner grants a
+//! claim once it is durable: stored in the shard's object on the platform, or
+//! copied to the replica that the stored object names as a witness. A new owner
+//! reads the object and collects the records of one witness. That witness is the
+//! replica, which then acknowledges no copies of an older term, or the former
+//! owner, which stops granting. The new owner then writes its term conditionally.
 //!
-//! Asks, grants, releases, copies and acknowledgements stay in the state once
-//! sent, so that each may arrive at any time, repeatedly or never. A former
-//! owner may go on without knowing of the new one.
+//! Grants, writes, copies and acknowledgements stay in the state for as long as
+//! they can have an effect, so that each may arrive at any time or never. A
+//! former owner may continue without knowing of the new one.
 
 mod calls;
 mod invariant;
@@ -26,10 +27,11 @@
 use state::bounds_of;
 use step::ClaimModel;
 
-/// Entry in the list of specifications.
+/// Entry of the claim specification.
 pub(crate) const ENTRY: SpecificationEntry = SpecificationEntry {
     name: "claim",
-    about: "owner change, group commit and lost answers: at most one run, and \"not run\" is true",
+    about: "owner changes, group commit and lost answers: at most one run, and no run of a call \
+            reported as not run",
     mutations: mutation::ENTRIES,
     run,
 };
--- a/crates/clementinepond_model/src/claim/owner.rs
+++ b/crates/clementinepond_model/src/claim/owner.rs
@@ -1,7 +1,7 @@
-//! What an owner does with claims.
+//! Steps of an owner that request, release and free claims.
 
 use super::mutation::ClaimMutation;
-use super::platform::made_durable;
+use super::platform::mark_durable;
 use super::replica::send_copy;
 use super::state::{ClaimRecord, ClaimState, HeldShard, OwnerStage};
 use super::step::{ClaimModel, ClaimStep, NextStates};
@@ -14,18 +14,18 @@
         shard: HeldShard,
         next: &mut NextStates,
     ) {
-        let asked = self.bounds.calls - state.left.asks;
+        let requested = self.bounds.calls - state.remaining.requests;
         for call in 0..self.bounds.calls {
             let is_held = match shard.record {
-                // Calls are alike, so that they may ask in their order.
-                ClaimRecord::Free if state.left.asks == 0 || call > asked => continue,
+                // Calls are interchangeable, so it suffices that they request in order.
+                ClaimRecord::Free if state.remaining.requests == 0 || call > requested => continue,
                 ClaimRecord::Free => {
-                    let mut after = change(state, vm, shard, ClaimRecord::Held(call));
-                    after.left.asks -= 1;
+                    let mut after = change_record(state, vm, shard, ClaimRecord::Held(call));
+                    after.remaining.requests -= 1;
                     if self.mutation == ClaimMutation::GrantBeforeDurable {
-                        made_durable(&mut after, vm);
+                        mark_durable(&mut after, vm);
                     }
-                    next.push((ClaimStep::Ask(vm, call), after));
+                    next.push((ClaimStep::Request(vm, call), after));
                     continue;
                 }
                 ClaimRecord::Held(holder) => {
@@ -34,20 +34,26 @@
                 ClaimRecord::Ended => false,
             };
             if is_held && state.calls[usize::from(call)].closed {
-                let after = change(state, vm, shard, ClaimRecord::Free);
+                let after = change_record(state, vm, shard, ClaimRecord::Free);
                 next.push((ClaimStep::Release(vm, call), after));
             }
         }
-        // To end a claim without a report only refuses more.
+        // The protocol ends a claim without a report, which only refuses more calls.
+        // Only the mutation is therefore explored.
         let forgets = self.mutation == ClaimMutation::ForgetUnreportedRun;
         if forgets && matches!(shard.record, ClaimRecord::Held(_)) {
-            let after = change(state, vm, shard, ClaimRecord::Free);
-            next.push((ClaimStep::Lose(vm), after));
+            let after = change_record(state, vm, shard, ClaimRecord::Free);
+            next.push((ClaimStep::FreeUnreported(vm), after));
         }
     }
 }
 
-fn change(state: &ClaimState, vm: usize, shard: HeldShard, record: ClaimRecord) -> ClaimState {
+fn change_record(
+    state: &ClaimState,
+    vm: usize,
+    shard: HeldShard,
+    record: ClaimRecord,
+) -> ClaimState {
     let mut after = state.clone();
     after.owners[vm].stage = OwnerStage::Holding(HeldShard {
         record,
--- a/crates/clementinepond_model/src/claim/platform.rs
+++ b/crates/clementinepond_model/src/claim/platform.rs
@@ -1,9 +1,9 @@
-//! The platform, and what an owner learns of its writes.
+//! Steps of the platform and of the writes of an owner.
 
 use super::mutation::ClaimMutation;
 use super::replica::send_copy;
 use super::state::{
-    ClaimRecord, ClaimState, FlyingWrite, HeldShard, OwnerStage, PendingCommit, ShardObject,
+    ClaimRecord, ClaimState, HeldShard, InFlightWrite, OwnerStage, PendingCommit, ShardObject,
     ShardWitnesses,
 };
 use super::step::{ClaimModel, ClaimStep, NextStates, epoch_of};
@@ -21,11 +21,11 @@
             after.object = write.object;
             after.answers.insert(write.object.nonce);
             let version = after.version;
-            // A conditional update on an older version can never take effect.
+            // A conditional write on an older version can no longer take effect.
             after
                 .writes
                 .retain(|write| any_version || write.if_version >= version);
-            next.push((ClaimStep::Land(write.owner), after));
+            next.push((ClaimStep::ApplyWrite(write.owner), after));
         }
     }
 
@@ -41,11 +41,14 @@
         };
         let trusted = self.mutation == ClaimMutation::TrustUnknownStore;
         if state.answers.contains(&commit.nonce) || trusted {
-            next.push((ClaimStep::Stored(vm), stored(state, vm, shard, commit)));
+            next.push((
+                ClaimStep::Stored(vm),
+                commit_stored(state, vm, shard, commit),
+            ));
         }
-        if state.version == shard.version && state.left.unanswered > 0 {
+        if state.version == shard.version && state.remaining.unanswered > 0 {
             let mut after = state.clone();
-            after.left.unanswered -= 1;
+            after.remaining.unanswered -= 1;
             let shard = HeldShard {
                 commit: None,
                 dirty: true,
@@ -57,12 +60,12 @@
         if state.version > shard.version && state.object.nonce != commit.nonce {
             let mut after = state.clone();
             after.owners[vm].stage = OwnerStage::Idle;
-            next.push((ClaimStep::Depose(vm), after));
+            next.push((ClaimStep::StepDown(vm), after));
         }
     }
 
     fn write_steps(&self, state: &ClaimState, vm: usize, shard: HeldShard, next: &mut NextStates) {
-        if state.left.writes == 0 {
+        if state.remaining.writes == 0 {
             return;
         }
         let present = state.replica.incarnation;
@@ -72,23 +75,23 @@
                 continue;
             }
             let mut after = state.clone();
-            after.left.writes -= 1;
-            let nonce = self.bounds.writes - after.left.writes;
-            after.writes.insert(FlyingWrite {
+            after.remaining.writes -= 1;
+            let nonce = self.bounds.writes - after.remaining.writes;
+            after.writes.insert(InFlightWrite {
                 owner: vm,
                 if_version: shard.version,
-                object: object(state, vm, shard, replica, nonce),
+                object: shard_object(state, vm, shard, replica, nonce),
             });
             let early = self.mutation == ClaimMutation::CopyBeforeWitness && replica.is_some();
             let counts = same || early;
             let writing = HeldShard {
-                // Until the write is known to be stored, the object may name
-                // either set of witnesses.
+                // Until the outcome of the write is known, the object may name either
+                // set of witnesses, so copies count only if both name the replica.
                 replica: replica.filter(|_| counts),
                 dirty: false,
                 commit: Some(PendingCommit {
                     nonce,
-                    covers: shard.sequence,
+                    covered_sequence: shard.sequence,
                     replica,
                 }),
                 ..shard
@@ -101,7 +104,7 @@
     }
 }
 
-fn object(
+fn shard_object(
     state: &ClaimState,
     vm: usize,
     shard: HeldShard,
@@ -121,9 +124,14 @@
     }
 }
 
-fn stored(state: &ClaimState, vm: usize, shard: HeldShard, commit: PendingCommit) -> ClaimState {
+fn commit_stored(
+    state: &ClaimState,
+    vm: usize,
+    shard: HeldShard,
+    commit: PendingCommit,
+) -> ClaimState {
     let mut after = state.clone();
-    let covered = commit.covers == shard.sequence;
+    let covered = commit.covered_sequence == shard.sequence;
     let shard = HeldShard {
         version: shard.version + 1,
         activated: true,
@@ -134,15 +142,15 @@
     };
     after.owners[vm].stage = OwnerStage::Holding(shard);
     if covered {
-        made_durable(&mut after, vm);
+        mark_durable(&mut after, vm);
     } else {
         send_copy(&mut after, vm);
     }
     after
 }
 
-/// Grants a claim that can no longer be lost.
-pub(super) fn made_durable(state: &mut ClaimState, vm: usize) {
+/// Marks the record of an owner as durable, and grants its claim if a call holds it.
+pub(super) fn mark_durable(state: &mut ClaimState, vm: usize) {
     let OwnerStage::Holding(shard) = &mut state.owners[vm].stage else {
         return;
     };
--- a/crates/clementinepond_model/src/claim/replica.rs
+++ b/crates/clementinepond_model/src/claim/replica.rs
@@ -1,7 +1,7 @@
-//! Copies to the replica and their acknowledgements.
+//! Steps of copies to the replica and of their acknowledgements.
 
 use super::mutation::ClaimMutation;
-use super::platform::made_durable;
+use super::platform::mark_durable;
 use super::state::{ClaimCopy, ClaimRecord, ClaimState, HeldShard, OwnerStage, ReplicaState};
 use super::step::{ClaimModel, ClaimStep, NextStates};
 
@@ -19,7 +19,7 @@
         let number = (shard.term, shard.sequence, incarnation);
         if !shard.durable && state.acknowledged.contains(&number) {
             let mut after = state.clone();
-            made_durable(&mut after, vm);
+            mark_durable(&mut after, vm);
             next.push((ClaimStep::Acknowledge(vm), after));
         }
     }
@@ -35,7 +35,7 @@
             let mut after = state.clone();
             // A second delivery would change nothing.
             after.copies.remove(copy);
-            store(&mut after.replica, copy);
+            store_copy(&mut after.replica, copy);
             let number = (copy.term, copy.sequence, copy.incarnation);
             after.acknowledged.insert(number);
             next.push((ClaimStep::Store(copy.term, copy.record), after));
@@ -43,9 +43,9 @@
     }
 }
 
-/// Sends a copy of the claim, once copies count.
+/// Sends a copy of the record if a replica is known to be stored as a witness.
 ///
-/// A release is not copied; a later owner then takes the call for running.
+/// A release is not copied, so a later owner treats the call as running.
 pub(super) fn send_copy(state: &mut ClaimState, vm: usize) {
     let OwnerStage::Holding(shard) = state.owners[vm].stage else {
         return;
@@ -63,7 +63,7 @@
     }
 }
 
-fn store(replica: &mut ReplicaState, copy: &ClaimCopy) {
+fn store_copy(replica: &mut ReplicaState, copy: &ClaimCopy) {
     if copy.term > replica.term {
         replica.term = copy.term;
         replica.sequence = 0;
--- a/crates/clementinepond_model/src/claim/start.rs
+++ b/crates/clementinepond_model/src/claim/start.rs
@@ -1,4 +1,4 @@
-//! States from which explorations start.
+//! Initial states of the explorations.
 
 use super::state::{
     CallState, ClaimRecord, ClaimState, HeldShard, OwnerStage, OwnerState, ReplicaState,
@@ -7,7 +7,7 @@
 use super::step::ClaimModel;
 
 impl ClaimModel {
-    /// The first VM owns the shard; nothing was asked.
+    /// Returns the state in which the first VM owns the shard and no claim was requested.
     pub(super) fn owned(&self, witnessed: bool) -> ClaimState {
         let idle = OwnerState {
             incarnation: 0,
@@ -40,7 +40,7 @@
             stage: OwnerStage::Holding(shard),
         };
         ClaimState {
-            left: self.bounds,
+            remaining: self.bounds,
             epoch: 1,
             version: 1,
             object,
@@ -54,9 +54,11 @@
         }
     }
 
-    /// The first call was copied to the replica, granted, closed and released;
-    /// the second was granted by a write of which the replica knows nothing.
-    pub(super) fn reclaimed(&self) -> ClaimState {
+    /// Returns the state in which the replica has an outdated copy.
+    ///
+    /// The first call was copied to the replica, granted, closed and released. The second
+    /// was then granted by a write to the object, without a copy to the replica.
+    pub(super) fn regranted(&self) -> ClaimState {
         let mut state = self.owned(true);
         let record = ClaimRecord::Held(1);
         state.replica = ReplicaState {
--- a/crates/clementinepond_model/src/claim/step.rs
+++ b/crates/clementinepond_model/src/claim/step.rs
@@ -8,7 +8,7 @@
 use crate::explore::Specification;
 use derive_more::Display;
 
-/// What may happen.
+/// Event that may happen next.
 #[derive(Debug, Display)]
 pub(super) enum ClaimStep {
     #[display("the roster makes vm-1 the owner")]
@@ -19,33 +19,33 @@
     CollectReplica(usize, ClaimRecord),
     #[display("vm-{_0} collects from the former owner: {_1}")]
     CollectOwner(usize, ClaimRecord),
-    #[display("vm-{_0} hears that a witness has restarted")]
-    Forgotten(usize),
-    #[display("vm-{_0} takes the shard over: {_1}")]
+    #[display("vm-{_0} learns that a witness has restarted and lost its records")]
+    Lost(usize),
+    #[display("vm-{_0} takes over the shard: {_1}")]
     TakeOver(usize, ClaimRecord),
     #[display("vm-{_0} sends a write, {_1}, {}", if *_2 { "naming the replica" } else { "naming no replica" })]
     Write(usize, ClaimRecord, bool),
     #[display("a write of vm-{_0} takes effect on the platform")]
-    Land(usize),
+    ApplyWrite(usize),
     #[display("vm-{_0} learns that its write took effect")]
     Stored(usize),
-    #[display("vm-{_0} has no answer to its write and reads the object unchanged")]
+    #[display("vm-{_0} receives no answer to its write and reads the object unchanged")]
     Unanswered(usize),
-    #[display("vm-{_0} learns that it is no longer the owner")]
-    Depose(usize),
-    #[display("vm-{_0} takes the claim of call {_1}")]
-    Ask(usize, CallNumber),
+    #[display("vm-{_0} reads an object that its pending write did not write and steps down")]
+    StepDown(usize),
+    #[display("vm-{_0} receives the request of call {_1} and records its claim")]
+    Request(usize, CallNumber),
     #[display("the replica stores a copy of term {_0} and acknowledges it: {_1}")]
     Store(u8, ClaimRecord),
     #[display("vm-{_0} receives the acknowledgement")]
     Acknowledge(usize),
-    #[display("vm-{_0} hears that call {_1} ran nothing")]
+    #[display("vm-{_0} learns that nothing ran for call {_1}")]
     Release(usize, CallNumber),
-    #[display("vm-{_0} waits no longer for the report of a run")]
-    Lose(usize),
+    #[display("vm-{_0} stops waiting for the report of a run and frees the claim")]
+    FreeUnreported(usize),
     #[display("call {_0} receives its grant and runs")]
     Run(CallNumber),
-    #[display("call {_0} is told that nothing ran")]
+    #[display("call {_0} ends and its caller is told that nothing ran")]
     Close(CallNumber),
     #[display("vm-{_0} crashes and is replaced")]
     CrashOwner(usize),
@@ -53,7 +53,7 @@
     CrashReplica,
 }
 
-/// The specification within bounds.
+/// The claim specification within bounds, with at most one mutation.
 #[derive(Debug)]
 pub(super) struct ClaimModel {
     pub(super) bounds: ClaimBounds,
@@ -70,15 +70,15 @@
         match self.bounds.start {
             ClaimStart::Witnessed => self.owned(true),
             ClaimStart::Unwitnessed => self.owned(false),
-            ClaimStart::Reclaimed => self.reclaimed(),
+            ClaimStart::Regranted => self.regranted(),
         }
     }
 
     fn steps(&self, state: &ClaimState) -> NextStates {
         let mut next = Vec::new();
-        if state.left.changes > 0 && state.epoch == 1 {
+        if state.remaining.changes > 0 && state.epoch == 1 {
             let mut after = state.clone();
-            after.left.changes -= 1;
+            after.remaining.changes -= 1;
             after.epoch = 2;
             next.push((ClaimStep::ChangeOwner, after));
         }
@@ -99,24 +99,24 @@
         crash_steps(state, &mut next);
         let acknowledges_old = self.mutation == ClaimMutation::AcknowledgeOldTerm;
         for (_, after) in &mut next {
-            after.forget_spent(acknowledges_old);
+            after.drop_spent_messages(acknowledges_old);
         }
         next
     }
 
-    fn breach(&self, state: &ClaimState) -> Option<&'static str> {
-        super::invariant::breach(state)
+    fn violated_invariant(&self, state: &ClaimState) -> Option<&'static str> {
+        super::invariant::violated_invariant(state)
     }
 }
 
-/// Roster generation under which a VM is the owner.
+/// Returns the roster epoch in which a VM is the owner.
 pub(super) fn epoch_of(vm: usize) -> u8 {
     if vm == 0 { 1 } else { 2 }
 }
 
 fn read_step(state: &ClaimState, vm: usize, next: &mut NextStates) {
     let epoch = epoch_of(vm);
-    if state.epoch < epoch || state.object.epoch > epoch || state.left.writes == 0 {
+    if state.epoch < epoch || state.object.epoch > epoch || state.remaining.writes == 0 {
         return;
     }
     let mut after = state.clone();
@@ -125,13 +125,13 @@
 }
 
 fn crash_steps(state: &ClaimState, next: &mut NextStates) {
-    if state.left.crashes == 0 {
+    if state.remaining.crashes == 0 {
         return;
     }
     for vm in 0..state.owners.len() {
         if state.owners[vm].stage != OwnerStage::Idle {
             let mut after = state.clone();
-            after.left.crashes -= 1;
+            after.remaining.crashes -= 1;
             after.owners[vm] = OwnerState {
                 incarnation: state.owners[vm].incarnation + 1,
                 stage: OwnerStage::Idle,
@@ -140,7 +140,7 @@
         }
     }
     let mut after = state.clone();
-    after.left.crashes -= 1;
+    after.remaining.crashes -= 1;
     after.replica = ReplicaState {
         incarnation: state.replica.incarnation + 1,
         ..ReplicaState::default()
--- a/crates/clementinepond_model/src/claim/takeover.rs
+++ b/crates/clementinepond_model/src/claim/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking a shard over.
+//! Steps of a takeover by a new owner.
 
 use super::mutation::ClaimMutation;
 use super::state::{
@@ -6,15 +6,15 @@
 };
 use super::step::{ClaimModel, ClaimStep, NextStates};
 
-/// Begins with the object as the platform holds it.
+/// Returns the stage after the read of the current object.
 pub(super) fn begin(state: &ClaimState) -> OwnerStage {
     OwnerStage::Collecting(CollectingShard {
         version: state.version,
         former: state.object,
         copy: ClaimRecord::Free,
         complete: false,
-        owner_forgot: false,
-        replica_forgot: false,
+        owner_lost: false,
+        replica_lost: false,
     })
 }
 
@@ -32,13 +32,13 @@
             collect_replica(state, vm, shard, witnesses, next);
             collect_owner(state, vm, shard, witnesses, next);
         }
-        let forgotten = shard.owner_forgot && shard.replica_forgot;
+        let all_lost = shard.owner_lost && shard.replica_lost;
         let collected = shard.former.witnesses.is_none()
             || shard.complete
-            || forgotten
+            || all_lost
             || self.mutation == ClaimMutation::SkipCollect;
         if collected {
-            let record = self.assemble(shard, forgotten);
+            let record = self.assemble(shard, all_lost);
             let mut after = state.clone();
             after.owners[vm].stage = OwnerStage::Holding(HeldShard {
                 term: shard.former.term + 1,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Joins the object's record and the copy.
-    fn assemble(&self, shard: CollectingShard, forgotten: bool) -> ClaimRecord {
+    /// Returns the record that follows from the object and the collected copy.
+    fn assemble(&self, shard: CollectingShard, all_lost: bool) -> ClaimRecord {
         use ClaimRecord::{Ended, Free, Held};
         let stored = shard.former.record;
-        if forgotten && self.mutation != ClaimMutation::SkipQuarantine {
-            // The witnesses may have held a grant; the key is refused.
+        if all_lost && self.mutation != ClaimMutation::SkipQuarantine {
+            // The lost records may have contained a grant, so the key is refused.
             return Ended;
         }
         match (stored, shard.copy) {
@@ -87,12 +87,12 @@
 ) {
     let mut after = state.clone();
     if state.replica.incarnation != witnesses.replica_incarnation {
-        if shard.replica_forgot {
+        if shard.replica_lost {
             return;
         }
-        shard.replica_forgot = true;
+        shard.replica_lost = true;
         after.owners[vm].stage = OwnerStage::Collecting(shard);
-        next.push((ClaimStep::Forgotten(vm), after));
+        next.push((ClaimStep::Lost(vm), after));
         return;
     }
     after.replica.promised = after.replica.promised.max(shard.former.term + 1);
@@ -114,12 +114,12 @@
     let former = state.owners[witnesses.owner];
     let mut after = state.clone();
     if former.incarnation != witnesses.owner_incarnation {
-        if shard.owner_forgot {
+        if shard.owner_lost {
             return;
         }
-        shard.owner_forgot = true;
+        shard.owner_lost = true;
         after.owners[vm].stage = OwnerStage::Collecting(shard);
-        next.push((ClaimStep::Forgotten(vm), after));
+        next.push((ClaimStep::Lost(vm), after));
         return;
     }
     let OwnerStage::Holding(held) = former.stage else {
@@ -128,7 +128,7 @@
     if held.term > shard.former.term {
         return;
     }
-    // The former owner stops granting when it hands its records over.
+    // The former owner stops granting when it returns its records.
     after.owners[witnesses.owner].stage = OwnerStage::Idle;
     shard.complete = true;
     shard.copy = held.record;
--- a/crates/clementinepond_model/src/configuration/invariant.rs
+++ b/crates/clementinepond_model/src/configuration/invariant.rs
@@ -2,8 +2,8 @@
 
 use super::state::FleetState;
 
-/// Returns the invariant that a state breaks.
-pub(super) fn breach(state: &FleetState) -> Option<&'static str> {
+/// Returns the invariant that a state violates, if any.
+pub(super) fn violated_invariant(state: &FleetState) -> Option<&'static str> {
     for vm in &state.vms {
         if vm.in_force.version < vm.highest {
             return Some("a version in force was replaced by an older one");
--- a/crates/clementinepond_model/src/configuration/mod.rs
+++ b/crates/clementinepond_model/src/configuration/mod.rs
@@ -1,11 +1,12 @@
 //! Configuration: the newest accepted version, relayed between VMs.
 //!
-//! An operator writes versions to the platform. Any VM may read it, as the
-//! relay does, and passes on what it holds, whole or as the difference to the
-//! version before. A restarted VM holds nothing and waits for its peers.
+//! An operator writes versions to the platform. Any VM may read them, as the
+//! relay does, and forwards the version it holds, as the complete text or as the
+//! delta from the previous version. A restarted VM holds nothing and waits for
+//! its peers.
 //!
-//! Assumed: within the wait after a restart, a VM that is not cut off hears
-//! the newest version that its peers hold.
+//! Assumption: within the wait after a restart, a VM that is not disconnected
+//! receives the newest version that its connected peers hold.
 
 mod invariant;
 mod mutation;
@@ -17,10 +18,10 @@
 use state::ConfigurationBounds;
 use step::ConfigurationModel;
 
-/// Entry in the list of specifications.
+/// Entry of the configuration specification.
 pub(crate) const ENTRY: SpecificationEntry = SpecificationEntry {
     name: "configuration",
-    about: "relay, restart and reordering: a version never reverts at any VM",
+    about: "relay, restarts and reordering: no VM returns to an older version",
     mutations: mutation::ENTRIES,
     run,
 };
--- a/crates/clementinepond_model/src/configuration/mutation.rs
+++ b/crates/clementinepond_model/src/configuration/mutation.rs
@@ -1,13 +1,13 @@
-//! Guards that can be removed.
+//! Mutations of the configuration specification.
 
 use crate::explore::mutations;
 
 mutations! {
     ConfigurationMutation {
-        AcceptOlder "accept_older" "takes in a version that is older than the one held",
+        AcceptOlder "accept_older" "accepts a version that is older than the one held",
         SkipBaseCheck "skip_base_check"
-            "applies a difference to another version than the one it was made from",
-        ApplyFirstHeard "apply_first_heard"
-            "puts the first version heard after a restart in force at once",
+            "applies a delta to a version other than its base",
+        ApplyFirstReceived "apply_first_heard"
+            "applies the first version received after a restart at once",
     }
 }
--- a/crates/clementinepond_model/src/configuration/step.rs
+++ b/crates/clementinepond_model/src/configuration/step.rs
@@ -5,34 +5,34 @@
 use crate::explore::Specification;
 use derive_more::Display;
 
-/// What may happen.
+/// Event that may happen next.
 #[derive(Debug, Display)]
 pub(super) enum ConfigurationStep {
     #[display("the operator writes version {_0}")]
     Write(u8),
-    #[display("vm-{_0} reads version {_1} from the platform; the answer is under way")]
+    #[display("vm-{_0} reads version {_1} from the platform; the answer is in flight")]
     Read(usize, u8),
-    #[display("vm-{_0} passes on {_1}")]
-    PassOn(usize, UpdateMessage),
+    #[display("vm-{_0} forwards {_1}")]
+    Forward(usize, UpdateMessage),
     #[display("vm-{_0} receives {_1}")]
     Receive(usize, UpdateMessage),
-    #[display("vm-{_0} has waited for its peers after its restart")]
+    #[display("vm-{_0} ends its wait for its peers after a restart")]
     EndBoot(usize),
     #[display("vm-{_0} puts version {_1} in force")]
     Apply(usize, u8),
-    #[display("vm-{_0} restarts and has forgotten everything")]
+    #[display("vm-{_0} restarts and loses its state")]
     Restart(usize),
-    #[display("vm-{_0} is cut off from its peers and the platform")]
-    CutOff(usize),
-    #[display("vm-{_0} is reached again")]
+    #[display("vm-{_0} is disconnected from its peers and the platform")]
+    Disconnect(usize),
+    #[display("vm-{_0} is reconnected")]
     Reconnect(usize),
-    #[display("the platform goes away")]
-    GoAway,
-    #[display("the platform comes back")]
-    ComeBack,
+    #[display("the platform becomes unavailable")]
+    PlatformFails,
+    #[display("the platform becomes available again")]
+    PlatformRecovers,
 }
 
-/// The specification within bounds.
+/// The configuration specification within bounds, with at most one mutation.
 #[derive(Debug)]
 pub(super) struct ConfigurationModel {
     pub(super) bounds: ConfigurationBounds,
@@ -47,12 +47,12 @@
 
     fn start(&self) -> FleetState {
         FleetState {
-            platform: 0,
-            platform_away: false,
+            platform_version: 0,
+            platform_unavailable: false,
             messages: [].into(),
             vms: vec![VmState::default(); self.bounds.vms],
             restarts_left: self.bounds.restarts,
-            cuts_left: self.bounds.cuts,
+            disconnections_left: self.bounds.disconnections,
             outages_left: self.bounds.outages,
         }
     }
@@ -68,50 +68,53 @@
         next
     }
 
-    fn breach(&self, state: &FleetState) -> Option<&'static str> {
-        super::invariant::breach(state)
+    fn violated_invariant(&self, state: &FleetState) -> Option<&'static str> {
+        super::invariant::violated_invariant(state)
     }
 }
 
 impl ConfigurationModel {
     fn platform_steps(&self, state: &FleetState, next: &mut NextStates) {
-        if state.platform < self.bounds.versions && !state.platform_away {
+        if state.platform_version < self.bounds.versions && !state.platform_unavailable {
             let mut after = state.clone();
-            after.platform += 1;
-            next.push((ConfigurationStep::Write(after.platform), after));
+            after.platform_version += 1;
+            next.push((ConfigurationStep::Write(after.platform_version), after));
         }
-        if state.platform_away {
+        if state.platform_unavailable {
             let mut after = state.clone();
-            after.platform_away = false;
-            next.push((ConfigurationStep::ComeBack, after));
+            after.platform_unavailable = false;
+            next.push((ConfigurationStep::PlatformRecovers, after));
         } else if state.outages_left > 0 {
             let mut after = state.clone();
-            after.platform_away = true;
+            after.platform_unavailable = true;
             after.outages_left -= 1;
-            next.push((ConfigurationStep::GoAway, after));
+            next.push((ConfigurationStep::PlatformFails, after));
         }
     }
 
     fn message_steps(&self, state: &FleetState, vm: usize, next: &mut NextStates) {
         let own = &state.vms[vm];
-        if own.cut_off {
+        if own.disconnected {
             return;
         }
-        let read = UpdateMessage::Whole(state.platform);
-        if !state.platform_away && state.platform > 0 && !state.messages.contains(&read) {
+        let read = UpdateMessage::Complete(state.platform_version);
+        if !state.platform_unavailable
+            && state.platform_version > 0
+            && !state.messages.contains(&read)
+        {
             let mut after = state.clone();
             after.messages.insert(read);
-            next.push((ConfigurationStep::Read(vm, state.platform), after));
+            next.push((ConfigurationStep::Read(vm, state.platform_version), after));
         }
         for message in sendable(own) {
             if !state.messages.contains(&message) {
                 let mut after = state.clone();
                 after.messages.insert(message);
-                next.push((ConfigurationStep::PassOn(vm, message), after));
+                next.push((ConfigurationStep::Forward(vm, message), after));
             }
         }
         for &message in &state.messages {
-            let Some(text) = self.received(own, message) else {
+            let Some(text) = self.apply_message(own, message) else {
                 continue;
             };
             let mut after = state.clone();
@@ -120,11 +123,11 @@
         }
     }
 
-    /// Returns the text that a VM holds after a message, if it changes.
-    fn received(&self, own: &VmState, message: UpdateMessage) -> Option<HeldText> {
+    /// Returns the text that a VM holds after a message; none if it is unchanged.
+    fn apply_message(&self, own: &VmState, message: UpdateMessage) -> Option<HeldText> {
         let (version, base) = match message {
-            UpdateMessage::Whole(version) => (version, None),
-            UpdateMessage::Difference(base) => (base + 1, Some(base)),
+            UpdateMessage::Complete(version) => (version, None),
+            UpdateMessage::Delta(base) => (base + 1, Some(base)),
         };
         let newer = version > own.newest.version;
         if !newer && self.mutation != ConfigurationMutation::AcceptOlder {
@@ -143,19 +146,19 @@
         let own = &state.vms[vm];
         if own.booting {
             let mut after = state.clone();
-            let heard = if own.cut_off {
+            let received = if own.disconnected {
                 HeldText::default()
             } else {
                 newest_of_peers(state, vm)
             };
             let booted = &mut after.vms[vm];
             booted.booting = false;
-            if heard.version > booted.newest.version {
-                booted.newest = heard;
+            if received.version > booted.newest.version {
+                booted.newest = received;
             }
             next.push((ConfigurationStep::EndBoot(vm), after));
         }
-        let waits = own.booting && self.mutation != ConfigurationMutation::ApplyFirstHeard;
+        let waits = own.booting && self.mutation != ConfigurationMutation::ApplyFirstReceived;
         if own.newest != own.in_force && own.newest.version > 0 && !waits {
             let mut after = state.clone();
             let applied = &mut after.vms[vm];
@@ -166,20 +169,20 @@
     }
 }
 
-/// Returns what a VM may pass on.
+/// Returns the messages that a VM may forward.
 fn sendable(own: &VmState) -> Vec<UpdateMessage> {
     let version = own.newest.version;
     if version == 0 || !own.newest.genuine {
         return Vec::new();
     }
-    let whole = UpdateMessage::Whole(version);
-    let difference = (version > 1).then(|| UpdateMessage::Difference(version - 1));
-    std::iter::once(whole).chain(difference).collect()
+    let complete = UpdateMessage::Complete(version);
+    let delta = (version > 1).then(|| UpdateMessage::Delta(version - 1));
+    std::iter::once(complete).chain(delta).collect()
 }
 
 fn newest_of_peers(state: &FleetState, vm: usize) -> HeldText {
     let peers = state.vms.iter().enumerate();
-    let reached = peers.filter(|(index, peer)| *index != vm && !peer.cut_off);
+    let reached = peers.filter(|(index, peer)| *index != vm && !peer.disconnected);
     let texts = reached.map(|(_, peer)| peer.newest);
     texts.max_by_key(|text| text.version).unwrap_or_default()
 }
@@ -188,40 +191,41 @@
     let own = &state.vms[vm];
     if state.restarts_left > 0 && own.highest > 0 {
         let peers = state.vms.iter().enumerate();
-        let reached = peers.filter(|(index, peer)| *index != vm && !peer.cut_off);
+        let reached = peers.filter(|(index, peer)| *index != vm && !peer.disconnected);
         let floor = reached.map(|(_, peer)| peer.in_force.version).max();
         let mut after = state.clone();
         after.restarts_left -= 1;
         after.vms[vm] = VmState {
             booting: true,
-            floor: floor.filter(|_| !own.cut_off).unwrap_or_default(),
-            cut_off: own.cut_off,
+            floor: floor.filter(|_| !own.disconnected).unwrap_or_default(),
+            disconnected: own.disconnected,
             ..VmState::default()
         };
         lower_floors(&mut after);
         next.push((ConfigurationStep::Restart(vm), after));
     }
-    if own.cut_off {
+    if own.disconnected {
         let mut after = state.clone();
-        after.vms[vm].cut_off = false;
+        after.vms[vm].disconnected = false;
         next.push((ConfigurationStep::Reconnect(vm), after));
-    } else if state.cuts_left > 0 {
+    } else if state.disconnections_left > 0 {
         let mut after = state.clone();
-        after.cuts_left -= 1;
-        after.vms[vm].cut_off = true;
-        // Nobody can hear what is out of reach.
+        after.disconnections_left -= 1;
+        after.vms[vm].disconnected = true;
+        // A version that only the disconnected VM has in force cannot be
+        // received, so no VM is required to have it.
         after.vms.iter_mut().for_each(|vm| vm.floor = 0);
-        next.push((ConfigurationStep::CutOff(vm), after));
+        next.push((ConfigurationStep::Disconnect(vm), after));
     }
 }
 
-/// Expects of restarted VMs no more than what a live peer in reach has
-/// in force.
+/// Lowers the floor of each VM to the newest version that a connected peer has in
+/// force.
 fn lower_floors(state: &mut FleetState) {
     let peers = state.vms.clone();
     for (vm, own) in state.vms.iter_mut().enumerate() {
         let others = peers.iter().enumerate();
-        let reached = others.filter(|(index, peer)| *index != vm && !peer.cut_off);
+        let reached = others.filter(|(index, peer)| *index != vm && !peer.disconnected);
         let highest = reached.map(|(_, peer)| peer.in_force.version).max();
         own.floor = own.floor.min(highest.unwrap_or_default());
     }
--- a/crates/clementinepond_model/src/explore/entry.rs
+++ b/crates/clementinepond_model/src/explore/entry.rs
@@ -1,47 +1,47 @@
-//! The list of specifications.
+//! Entries of the list of specifications.
 
 use super::report::{Bounds, ExplorationReport};
 use derive_more::{Display, Error};
 
-/// Guard that can be removed.
+/// Mutation that removes one guard of a specification.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MutationEntry {
     /// Name on the command line.
     pub name: &'static str,
-    /// What goes without the guard.
+    /// Behaviour without the guard.
     pub about: &'static str,
 }
 
-/// Reason for which a mutation cannot be explored.
+/// Error for a mutation name that the specification does not have.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
-#[display("there is no mutation {name:?} of {specification}; choose one of {known}")]
+#[display("specification {specification} has no mutation {name:?}; choose one of {known}")]
 pub struct MutationError {
-    /// Name that was given.
+    /// Requested name.
     pub name: Box<str>,
-    /// Specification.
+    /// Name of the specification.
     pub specification: &'static str,
-    /// Names that exist.
+    /// Available names, separated by commas.
     pub known: Box<str>,
 }
 
-/// One specification.
+/// Specification of one part of the protocol.
 #[derive(Debug, Clone, Copy)]
 pub struct SpecificationEntry {
     /// Name on the command line.
     pub name: &'static str,
-    /// What is specified and what must hold.
+    /// Subject of the specification and the property that must hold.
     pub about: &'static str,
-    /// Guards that can be removed.
+    /// Available mutations.
     pub mutations: &'static [MutationEntry],
     pub(crate) run: fn(Bounds, Option<&'static str>) -> ExplorationReport,
 }
 
 impl SpecificationEntry {
-    /// Explores the specification, with one guard removed if named.
+    /// Explores the specification, with one guard removed if a mutation is named.
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no mutation of that name.
+    /// Returns an error if the specification has no mutation of that name.
     pub fn explore(
         &self,
         bounds: Bounds,
@@ -52,12 +52,12 @@
         };
         let known = self.mutations.iter().find(|entry| entry.name == name);
         let Some(known) = known else {
-            return Err(self.unknown(name));
+            return Err(self.unknown_mutation(name));
         };
         Ok((self.run)(bounds, Some(known.name)))
     }
 
-    fn unknown(&self, name: &str) -> MutationError {
+    fn unknown_mutation(&self, name: &str) -> MutationError {
         let names: Vec<_> = self.mutations.iter().map(|entry| entry.name).collect();
         MutationError {
             name: name.into(),
--- a/crates/clementinepond_model/src/explore/explorer.rs
+++ b/crates/clementinepond_model/src/explore/explorer.rs
@@ -1,10 +1,10 @@
-//! Breadth-first search by the library.
+//! Breadth-first search of the reachable states.
 
 use super::report::{Counterexample, ExplorationReport, ExplorationSize};
 use super::specification::Specification;
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
-/// Explores under each of the bounds, or up to the first breach.
+/// Explores a specification under each of its bounds, up to the first violation.
 pub(crate) fn explore_all<B: ToString, S: Specification>(
     name: &'static str,
     specifications: impl IntoIterator<Item = (B, S)>,
@@ -16,10 +16,10 @@
     };
     for (bounds, specification) in specifications {
         let exploration = explore(bounds.to_string(), &specification);
-        let breached = exploration.breached;
+        let violated = exploration.violated;
         report.explorations.push(exploration);
-        if breached {
-            report.violation = shortest_breach(&specification);
+        if violated {
+            report.violation = shortest_counterexample(&specification);
             break;
         }
     }
@@ -33,15 +33,15 @@
         bounds: bounds.into(),
         states: 0,
         depth: 0,
-        breached: false,
+        violated: false,
     };
-    // States come in the order of their depth; a level is complete once all
-    // states known at the end of the level before it were visited.
+    // States arrive in the order of their depth. A level is complete once all
+    // states that were known at the end of the previous level have been visited.
     let mut level_end = 1;
     while let Some(state) = reached.next() {
         size.states += 1;
-        if specification.breach(&state).is_some() {
-            size.breached = true;
+        if specification.violated_invariant(&state).is_some() {
+            size.violated = true;
             break;
         }
         if size.states == level_end {
@@ -58,14 +58,16 @@
     steps.into_iter().map(|(_, next)| next).collect()
 }
 
-fn shortest_breach<S: Specification>(specification: &S) -> Option<Counterexample> {
+fn shortest_counterexample<S: Specification>(specification: &S) -> Option<Counterexample> {
     let start = specification.start();
     let successors = |state: &S::State| next_states(specification, state);
-    let breaks = |state: &S::State| specification.breach(state).is_some();
-    let path = bfs(&start, successors, breaks)?;
-    let invariant = path.last().and_then(|state| specification.breach(state))?;
+    let violates = |state: &S::State| specification.violated_invariant(state).is_some();
+    let path = bfs(&start, successors, violates)?;
+    let invariant = path
+        .last()
+        .and_then(|state| specification.violated_invariant(state))?;
     let steps = path.windows(2).filter_map(|pair| match pair {
-        [before, after] => name_step(specification, before, after),
+        [before, after] => describe_step(specification, before, after),
         _ => None,
     });
     Some(Counterexample {
@@ -74,7 +76,7 @@
     })
 }
 
-fn name_step<S: Specification>(
+fn describe_step<S: Specification>(
     specification: &S,
     before: &S::State,
     after: &S::State,
--- a/crates/clementinepond_model/src/explore/report.rs
+++ b/crates/clementinepond_model/src/explore/report.rs
@@ -1,24 +1,24 @@
-//! What an exploration found.
+//! Results of an exploration.
 
 use derive_more::{Display, FromStr};
 use std::fmt;
 
-/// Size of an exploration.
+/// Set of bounds to explore.
 #[derive(Debug, Display, FromStr, Clone, Copy, PartialEq, Eq)]
 #[display(rename_all = "lowercase")]
 pub enum Bounds {
-    /// Explored in CI.
+    /// Bounds small enough for CI.
     Small,
-    /// Explored by hand.
+    /// Larger bounds, for runs by hand.
     Large,
 }
 
-/// Shortest way to a breach.
+/// Shortest trace to a violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
-    /// Invariant that is broken at the end.
+    /// Invariant that the last state violates.
     pub invariant: Box<str>,
-    /// Steps from the start, one line each.
+    /// Descriptions of the steps from the start, one line each.
     pub steps: Vec<Box<str>>,
 }
 
@@ -27,22 +27,22 @@
         for (index, step) in self.steps.iter().enumerate() {
             writeln!(formatter, "{:>3}. {step}", index + 1)?;
         }
-        write!(formatter, "broken: {}", self.invariant)
+        write!(formatter, "violated: {}", self.invariant)
     }
 }
 
-/// Size of one exploration.
+/// Size and outcome of one exploration.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
-#[display("bounds={bounds:?} states={states} depth={depth} holds={}", !breached)]
+#[display("bounds={bounds:?} states={states} depth={depth} holds={}", !violated)]
 pub struct ExplorationSize {
-    /// Bounds in words.
+    /// Description of the bounds.
     pub bounds: Box<str>,
-    /// States found, up to the breach if there is one.
+    /// Number of states visited, up to the first violation.
     pub states: u64,
-    /// Largest number of steps from the start to any of them.
+    /// Largest number of steps from the start to any visited state.
     pub depth: u32,
-    /// Whether an invariant was broken.
-    pub breached: bool,
+    /// Whether a state violates an invariant.
+    pub violated: bool,
 }
 
 /// Outcome of all explorations of a specification.
@@ -50,14 +50,14 @@
 pub struct ExplorationReport {
     /// Name of the specification.
     pub specification: &'static str,
-    /// Explorations under different bounds, up to the first breach.
+    /// Explorations under different bounds, up to the first violation.
     pub explorations: Vec<ExplorationSize>,
-    /// Shortest way to a breach, if there is one.
+    /// Shortest trace to a violation; none if all invariants hold.
     pub violation: Option<Counterexample>,
 }
 
 impl ExplorationReport {
-    /// Returns the states found in all explorations.
+    /// Returns the number of states visited in all explorations.
     #[must_use]
     pub fn states(&self) -> u64 {
         self.explorations.iter().map(|size| size.states).sum()
--- a/crates/clementinepond_model/src/explore/specification.rs
+++ b/crates/clementinepond_model/src/explore/specification.rs
@@ -1,21 +1,21 @@
-//! What a specification consists of.
+//! Interface between a specification and the explorer.
 
 use std::fmt::Display;
 use std::hash::Hash;
 
 /// Steps and invariants of one part of the protocol.
 pub(crate) trait Specification {
-    /// Everything that the future depends on.
+    /// State of the system, with everything that later steps depend on.
     type State: Clone + Eq + Hash;
-    /// One thing that may happen.
+    /// Event that leads from one state to another.
     type Step: Display;
 
-    /// Returns the state at the start.
+    /// Returns the initial state.
     fn start(&self) -> Self::State;
 
-    /// Returns everything that may happen next.
+    /// Returns every possible step with the state it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
-    /// Returns the invariant that a state breaks.
-    fn breach(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns the invariant that a state violates, if any.
+    fn violated_invariant(&self, state: &Self::State) -> Option<&'static str>;
 }
--- a/crates/clementinepond_model/src/limit/invariant.rs
+++ b/crates/clementinepond_model/src/limit/invariant.rs
@@ -2,9 +2,9 @@
 
 use super::state::LimitState;
 
-/// Returns the invariant that a state breaks.
-pub(super) fn breach(state: &LimitState) -> Option<&'static str> {
+/// Returns the invariant that a state violates, if any.
+pub(super) fn violated_invariant(state: &LimitState) -> Option<&'static str> {
     state
         .overspent
-        .then_some("more was spent than the account's rate and burst allow")
+        .then_some("the account spent more than its rate and burst allow")
 }
--- a/crates/clementinepond_model/src/limit/mod.rs
+++ b/crates/clementinepond_model/src/limit/mod.rs
@@ -1,18 +1,18 @@
-//! Limits: the parts of one account on two VMs, a loan and a roster change.
+//! Limits: the two parts of one account, a part loan and a roster change.
 //!
-//! Each VM has one part: a capacity of two tokens and a refill of one token a
-//! tick. The home borrows the other VM's part, empty, until a deadline. The
-//! part also moves for good, by a release of its holder or after the holder
-//! was removed. A reference bucket with the account's whole rate and burst
-//! says what may be spent: a spend that it cannot pay breaks the limit over
-//! some window.
+//! Each of two VMs has one part: a capacity of 2 tokens and a refill of 1 token
+//! per tick. The account's owner borrows the other VM's part, empty, until a
+//! deadline. The part also moves permanently, when its VM releases it or is
+//! removed from the roster. A reference bucket has the rate and burst of the
+//! whole account. A spend that exceeds its level violates the limit over some
+//! window.
 //!
-//! Polls and loans stay in the state once sent. Time is counted in ticks; at
-//! one tick, the home's clock may stand still. Refills follow true time, since
-//! the product lowers rates by the drift. Not covered: lots, which move tokens
-//! together with capacity.
+//! Polls and loans stay in the state once sent. Time is counted in ticks; the
+//! owner's clock may miss one tick. Refills follow true time, since the
+//! implementation reduces rates by the clock drift. Not covered: token loans,
+//! which move tokens together with capacity.
 //!
-//! Assumed: a VM that the platform lists as gone has stopped.
+//! Assumption: a VM that the platform no longer lists has stopped.
 
 mod invariant;
 mod mutation;
@@ -25,10 +25,10 @@
 use state::LimitBounds;
 use step::LimitModel;
 
-/// Entry in the list of specifications.
+/// Entry of the limit specification.
 pub(crate) const ENTRY: SpecificationEntry = SpecificationEntry {
     name: "limit",
-    about: "parts, loans and roster changes: spending stays within rate and burst",
+    about: "parts, part loans and roster changes: spending stays within rate and burst",
     mutations: mutation::ENTRIES,
     run,
 };
--- a/crates/clementinepond_model/src/limit/mutation.rs
+++ b/crates/clementinepond_model/src/limit/mutation.rs
@@ -1,21 +1,21 @@
-//! Guards that can be removed.
+//! Mutations of the limit specification.
 
 use crate::explore::mutations;
 
 mutations! {
     LimitMutation {
-        KeepLapsedLoans "keep_lapsed_loans" "a lapsed loan stays usable at the home",
-        CountFromReceipt "count_from_receipt" "a deadline is counted from the receipt of a loan",
-        IgnoreDrift "ignore_drift" "a deadline is not shortened by the drift of clocks",
-        KeepLentSlice "keep_lent_slice" "a lender goes on using what it lent",
-        ResumeFull "resume_full" "a lender resumes its part with tokens",
-        ForgetHolds "forget_holds" "an admitted request does not hold capacity",
-        ActLate "act_late" "a paused VM acts on an admission after its deadline",
+        KeepExpiredPartLoans "keep_lapsed_loans" "the owner keeps using an expired loan",
+        CountFromReceipt "count_from_receipt" "the owner counts the deadline of a loan from its receipt",
+        IgnoreDrift "ignore_drift" "the deadline of a loan is not reduced for clock drift",
+        KeepLentSlice "keep_lent_slice" "a lender keeps using its part while it is lent",
+        ReclaimFull "resume_full" "a lender reclaims its part filled with tokens",
+        ReserveWithoutHold "forget_holds" "an admitted request does not hold capacity until it is dispatched",
+        ActLate "act_late" "a paused VM dispatches an admitted request after its deadline",
         ReleaseBeforeStop "release_before_stop" "a VM releases its part while it is lent",
         ResumeOnUnknown "resume_on_unknown"
-            "a VM uses its part again while the fate of its release is unknown",
+            "a VM uses its part again while the outcome of its release is unknown",
         RemoveWithoutHoldOff "remove_without_hold_off"
-            "a VM that is listed as gone is removed at once",
+            "a VM that is no longer listed is removed at once",
         SkipStartWait "skip_start_wait" "a restarted VM uses its part at once",
     }
 }
--- a/crates/clementinepond_model/src/limit/part.rs
+++ b/crates/clementinepond_model/src/limit/part.rs
@@ -1,8 +1,8 @@
-//! Capacities, refills and what time does to them.
+//! Capacity and refill of the parts, and the effects of a tick.
 
 use super::mutation::LimitMutation;
 use super::state::{
-    HomeState, LenderState, LimitState, NEVER, PART_BURST, PART_RATE, PARTS, PartStage,
+    LenderState, LimitState, NEVER, OwnerState, PART_BURST, PART_RATE, PARTS, PartStage,
 };
 use super::step::LimitModel;
 
@@ -15,31 +15,31 @@
             && (lender.lent.is_none() || keeps)
     }
 
-    /// Returns the home's capacity and refill.
-    pub(super) fn home_size(&self, home: &HomeState) -> (u8, u8) {
-        let parts = 1 + u8::from(home.borrowed.is_some()) + u8::from(home.owns_both);
-        let forgets = self.mutation == LimitMutation::ForgetHolds;
-        let held = home.admitted.filter(|_| !forgets);
+    /// Returns the owner's capacity, in tokens, and its refill, in tokens per tick.
+    pub(super) fn owner_size(&self, owner: &OwnerState) -> (u8, u8) {
+        let parts = 1 + u8::from(owner.borrowed.is_some()) + u8::from(owner.owns_both);
+        let ignores_hold = self.mutation == LimitMutation::ReserveWithoutHold;
+        let held = owner.admitted.filter(|_| !ignores_hold);
         let held = held.map_or(0, |admission| admission.cost);
         let capacity = (parts * PART_BURST).saturating_sub(held);
         (capacity, parts * PART_RATE)
     }
 
-    /// Lets a tick pass; `slow` when the home's clock does not count it.
-    pub(super) fn tick(&self, state: &LimitState, slow: bool) -> LimitState {
+    /// Returns the state after a tick, which the owner's clock may miss.
+    pub(super) fn tick(&self, state: &LimitState, missed_by_owner: bool) -> LimitState {
         let mut after = state.clone();
-        let whole = PARTS * PART_BURST;
-        after.reference = (after.reference + PARTS * PART_RATE).min(whole);
-        self.pass_lender_time(&mut after.lender);
-        let (capacity, rate) = self.home_size(&after.home);
-        after.home.level = (after.home.level + rate).min(capacity);
-        if !slow {
-            self.pass_home_time(&mut after.home);
+        let burst = PARTS * PART_BURST;
+        after.reference = (after.reference + PARTS * PART_RATE).min(burst);
+        self.advance_lender(&mut after.lender);
+        let (capacity, rate) = self.owner_size(&after.owner);
+        after.owner.level = (after.owner.level + rate).min(capacity);
+        if !missed_by_owner {
+            self.advance_owner(&mut after.owner);
         }
         after
     }
 
-    fn pass_lender_time(&self, lender: &mut LenderState) {
+    fn advance_lender(&self, lender: &mut LenderState) {
         if self.uses_part(lender) {
             lender.level = (lender.level + PART_RATE).min(PART_BURST);
         }
@@ -49,39 +49,39 @@
             *left = left.saturating_sub(1);
             if *left == 0 {
                 lender.lent = None;
-                if self.mutation == LimitMutation::ResumeFull {
+                if self.mutation == LimitMutation::ReclaimFull {
                     lender.level = PART_BURST;
                 }
             }
         }
     }
 
-    fn pass_home_time(&self, home: &mut HomeState) {
-        for left in home.polls.values_mut() {
+    fn advance_owner(&self, owner: &mut OwnerState) {
+        for left in owner.polls.values_mut() {
             *left = left.saturating_sub(1);
         }
-        if let Some((left, _)) = &mut home.borrowed
-            && self.mutation != LimitMutation::KeepLapsedLoans
+        if let Some((left, _)) = &mut owner.borrowed
+            && self.mutation != LimitMutation::KeepExpiredPartLoans
         {
             *left = left.saturating_sub(1);
             if *left == 0 {
-                home.borrowed = None;
+                owner.borrowed = None;
             }
         }
-        if let Some(admission) = &mut home.admitted
-            && admission.left != NEVER
+        if let Some(admission) = &mut owner.admitted
+            && admission.ticks_left != NEVER
         {
-            admission.left = admission.left.saturating_sub(1);
-            if admission.left == 0 && self.mutation != LimitMutation::ActLate {
-                home.admitted = None;
+            admission.ticks_left = admission.ticks_left.saturating_sub(1);
+            if admission.ticks_left == 0 && self.mutation != LimitMutation::ActLate {
+                owner.admitted = None;
             }
         }
-        let (capacity, _) = self.home_size(home);
-        home.level = home.level.min(capacity);
+        let (capacity, _) = self.owner_size(owner);
+        owner.level = owner.level.min(capacity);
     }
 }
 
-/// Takes tokens from the reference bucket.
+/// Takes tokens from the reference bucket and records an overspend.
 pub(super) fn spend(state: &mut LimitState, cost: u8) {
     state.overspent |= state.reference < cost;
     state.reference = state.reference.saturating_sub(cost);
--- a/crates/clementinepond_model/src/limit/state.rs
+++ b/crates/clementinepond_model/src/limit/state.rs
@@ -6,27 +6,29 @@
 
 /// Capacity of one part, in tokens.
 pub(super) const PART_BURST: u8 = 2;
-/// Refill of one part, in tokens a tick.
+/// Refill of one part, in tokens per tick.
 pub(super) const PART_RATE: u8 = 1;
-/// Parts of the account.
+/// Number of parts of the account.
 pub(super) const PARTS: u8 = 2;
-/// Life of a loan at its lender, in ticks.
-pub(super) const SPAN: u8 = 3;
-/// Cost of a short request and of one that a VM's own part cannot hold.
+/// Lifetime of a loan on the lender's clock, in ticks.
+pub(super) const LOAN_DURATION: u8 = 3;
+/// Cost of a short request and of one that exceeds the capacity of one part, in tokens.
 pub(super) const COSTS: [u8; 2] = [1, 3];
-/// Drift of two clocks within a loan, in ticks.
+/// Largest drift between two clocks during a loan, in ticks.
 pub(super) const DRIFT: u8 = 1;
-/// Time after which nothing lent by a stopped VM is usable, in ticks.
-pub(super) const HOLD_OFF: u8 = SPAN + DRIFT;
-/// Deadline that never comes.
+/// Time after which no loan of a stopped or restarted VM is usable, in ticks.
+pub(super) const HOLD_OFF: u8 = LOAN_DURATION + DRIFT;
+/// Ticks left of an admission without a deadline.
 pub(super) const NEVER: u8 = u8::MAX;
 
-/// Limits of the exploration.
+/// Bounds of one exploration: how often each kind of step may happen.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
-#[display("2 VMs, {polls} polls, {slips} clock slips, {restarts} restarts, {moves} moved parts")]
+#[display(
+    "2 VMs, {polls} polls, {missed_ticks} missed ticks, {restarts} restarts, {moves} moved parts"
+)]
 pub(super) struct LimitBounds {
     pub(super) polls: u8,
-    pub(super) slips: u8,
+    pub(super) missed_ticks: u8,
     pub(super) restarts: u8,
     pub(super) moves: u8,
 }
@@ -39,22 +41,22 @@
         };
         Self {
             polls,
-            slips: 1,
+            missed_ticks: 1,
             restarts: 1,
             moves: 1,
         }
     }
 }
 
-/// Stage of the lender's own part.
+/// Stage of the lender's part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum PartStage {
-    /// The part is in use, or lent.
+    /// The part is in use, lent, or unused during the wait after a restart.
     Held,
-    /// A release was sent; its fate is unknown.
+    /// A release was sent; its outcome is unknown.
     Releasing,
-    /// The VM has stopped and is listed as gone.
-    Gone,
+    /// The VM has stopped and is no longer listed.
+    Stopped,
 }
 
 /// VM that lends its part.
@@ -62,48 +64,49 @@
 pub(super) struct LenderState {
     pub(super) level: u8,
     pub(super) stage: PartStage,
-    /// Ticks until the lender resumes, and the poll that it answered.
+    /// Ticks until the lender reclaims its part, and the poll it answered with the loan.
     pub(super) lent: Option<(u8, u8)>,
-    /// Ticks until a restarted VM uses its part.
+    /// Ticks until a restarted VM may use its part.
     pub(super) start_wait: u8,
-    /// Ticks until a gone VM is removed.
+    /// Ticks until a stopped VM may be removed.
     pub(super) hold_off: u8,
 }
 
-/// Admission that is not yet acted on.
+/// Admitted request that is not dispatched yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct PendingAdmission {
-    /// Ticks until it lapses.
-    pub(super) left: u8,
-    /// Tokens that it spends.
+    /// Ticks until the admission expires, or `NEVER`.
+    pub(super) ticks_left: u8,
+    /// Tokens that the request spends.
     pub(super) cost: u8,
 }
 
-/// VM that borrows.
+/// VM that owns the account and borrows the other part.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct HomeState {
+pub(super) struct OwnerState {
     pub(super) level: u8,
-    /// Polls by number, and the ticks for which an answer would count.
+    /// Ticks for which a loan in answer to each poll is usable, by poll number.
     pub(super) polls: BTreeMap<u8, u8>,
-    /// Ticks for which the loan is usable, and its poll.
+    /// Ticks for which the loan is usable, and the poll it answers.
     pub(super) borrowed: Option<(u8, u8)>,
-    /// Whether the home knows that the other part is its own.
+    /// Whether the owner knows that both parts are its own.
     pub(super) owns_both: bool,
-    /// Admission that is not yet acted on.
+    /// Admitted request that is not dispatched yet.
     pub(super) admitted: Option<PendingAdmission>,
 }
 
 /// State of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct LimitState {
-    pub(super) left: LimitBounds,
-    /// Level of the reference bucket.
+    /// Steps that may still happen.
+    pub(super) remaining: LimitBounds,
+    /// Level of the reference bucket, in tokens.
     pub(super) reference: u8,
     pub(super) overspent: bool,
     pub(super) lender: LenderState,
-    pub(super) home: HomeState,
+    pub(super) owner: OwnerState,
     pub(super) polls: BTreeSet<u8>,
     pub(super) loans: BTreeSet<u8>,
-    /// Whether the platform's table gives both parts to the home.
+    /// Whether the platform's table assigns both parts to the owner.
     pub(super) moved: bool,
 }
--- a/crates/clementinepond_model/src/plan/invariant.rs
+++ b/crates/clementinepond_model/src/plan/invariant.rs
@@ -1,14 +1,14 @@
 //! Invariants of the placement specification.
 
-use super::state::{MEMORY, PlanState};
+use super::state::{MEMORY_CAPACITY, PlanState};
 
-/// Returns the invariant that a state breaks.
-pub(super) fn breach(state: &PlanState) -> Option<&'static str> {
-    if state.endpoint.loaded.len() > MEMORY {
+/// Returns the invariant that a state violates, if any.
+pub(super) fn violated_invariant(state: &PlanState) -> Option<&'static str> {
+    if state.endpoint.loaded.len() > MEMORY_CAPACITY {
         return Some("the endpoint's memory is overcommitted");
     }
-    if state.endpoint.stale_landed {
-        return Some("an order landed after one of a newer holder");
+    if state.endpoint.stale_applied {
+        return Some("an order took effect after one of a newer holder");
     }
     None
 }
--- a/crates/clementinepond_model/src/plan/lease.rs
+++ b/crates/clementinepond_model/src/plan/lease.rs
@@ -1,11 +1,10 @@
-//! Steps of the lease: taking it, renewing it, learning what became of a
-//! write.
+//! Steps of the lease: acquisition, renewal, writes of orders and their outcomes.
 
 use super::mutation::PlanMutation;
 use super::state::{
-    DRIFT, FlyingOrder, FlyingWrite, HeldLease, LeasePhase, LedgerEntry, MARGIN, NUMBERS,
-    ORDER_SPAN, OrderAction, OrderNumber, PlanObject, PlanStart, PlanState, ReportView, STAGED,
-    SeenObject,
+    ARRIVAL_MARGIN, DRIFT, HeldLease, InFlightOrder, InFlightWrite, LeasePhase, LedgerEntry,
+    ORDER_LIFETIME, ORDERS_PER_HOLDER, OrderAction, OrderNumber, PlanObject, PlanStart, PlanState,
+    ReportView, SeenObject, UNISSUED_WINDOW,
 };
 use super::step::{NextStates, PlanModel, PlanStep};
 
@@ -17,13 +16,13 @@
                 if_version,
                 object,
                 lease_left,
-                quiet_left,
+                effect_left,
             } => {
-                let quiet_left = *quiet_left;
+                let effect_left = *effect_left;
                 if *lease_left == 0 {
-                    self.give_up(state, vm, next);
+                    self.step_down(state, vm, next);
                 } else if let Some(version) = answered(state, vm, object.nonce, object.renewal) {
-                    let lease = self.acquired(object, version, *lease_left, quiet_left);
+                    let lease = self.acquired(object, version, *lease_left, effect_left);
                     push_phase(
                         state,
                         vm,
@@ -32,7 +31,7 @@
                         next,
                     );
                 } else if state.version > *if_version {
-                    self.give_up(state, vm, next);
+                    self.step_down(state, vm, next);
                 }
             }
             LeasePhase::Held(lease) => self.hold(state, vm, lease, next),
@@ -41,10 +40,10 @@
 
     fn follow(&self, state: &PlanState, vm: usize, seen: &SeenObject, next: &mut NextStates) {
         if seen.version < state.version && self.may_take(state, vm) {
-            let phase = LeasePhase::Follower(self.first_sight(state, vm));
+            let phase = LeasePhase::Follower(self.observe(state, vm));
             push_phase(state, vm, PlanStep::Observe(vm, state.version), phase, next);
         }
-        if seen.free_left > 0 || !self.may_take(state, vm) || state.left.writes == 0 {
+        if seen.authority_left > 0 || !self.may_take(state, vm) || state.remaining.writes == 0 {
             return;
         }
         let object = PlanObject {
@@ -55,9 +54,9 @@
             orders: seen.object.orders.clone(),
         };
         let mut after = state.clone();
-        after.left.acquisitions -= 1;
-        after.left.writes -= 1;
-        after.writes.insert(FlyingWrite {
+        after.remaining.acquisitions -= 1;
+        after.remaining.writes -= 1;
+        after.writes.insert(InFlightWrite {
             vm,
             if_version: seen.version,
             object: object.clone(),
@@ -67,24 +66,24 @@
             if_version: seen.version,
             object,
             lease_left: self.bounds.lease,
-            quiet_left: if skips { 0 } else { seen.quiet_left },
+            effect_left: if skips { 0 } else { seen.effect_left },
         };
         next.push((PlanStep::Acquire(vm, seen.version), after));
     }
 
-    /// Returns whether a VM may take the lease within the bounds.
+    /// Returns whether a VM may acquire the lease within the bounds.
     fn may_take(&self, state: &PlanState, vm: usize) -> bool {
         let turn = match self.bounds.start {
-            // The VMs are alike, so that the first holder may be the first VM.
+            // The VMs are interchangeable, so it suffices that the first VM is first.
             PlanStart::Fresh => vm == 0 || state.version > 0,
             PlanStart::Held | PlanStart::Loaded => vm == 1,
         };
-        turn && state.left.acquisitions > 0
+        turn && state.remaining.acquisitions > 0
     }
 
-    pub(super) fn first_sight(&self, state: &PlanState, vm: usize) -> SeenObject {
+    pub(super) fn observe(&self, state: &PlanState, vm: usize) -> SeenObject {
         if !self.may_take(state, vm) {
-            // Nothing more comes of watching.
+            // What the VM sees has no effect while it may not acquire the lease.
             return SeenObject::default();
         }
         let drift = if self.mutation == PlanMutation::IgnoreDrift {
@@ -96,9 +95,9 @@
         SeenObject {
             version: state.version,
             object: state.object.clone(),
-            free_left: if held { self.bounds.lease + drift } else { 0 },
-            quiet_left: if held {
-                self.bounds.lease + MARGIN + drift
+            authority_left: if held { self.bounds.lease + drift } else { 0 },
+            effect_left: if held {
+                self.bounds.lease + ARRIVAL_MARGIN + drift
             } else {
                 0
             },
@@ -126,8 +125,8 @@
                 .collect(),
         };
         let mut after = state.clone();
-        after.left.writes -= 1;
-        after.writes.insert(FlyingWrite {
+        after.remaining.writes -= 1;
+        after.writes.insert(InFlightWrite {
             vm,
             if_version: lease.version,
             object,
@@ -140,7 +139,7 @@
         if self.mutation == PlanMutation::ReuseNonce {
             return 0;
         }
-        self.bounds.writes - state.left.writes
+        self.bounds.writes - state.remaining.writes
     }
 
     pub(super) fn acquired(
@@ -148,20 +147,20 @@
         object: &PlanObject,
         version: u8,
         lease_left: u8,
-        quiet_left: u8,
+        effect_left: u8,
     ) -> HeldLease {
         let inherit = self.mutation != PlanMutation::ForgetInheritedOrders;
         let inherited = object.orders.iter().filter(|_| inherit);
         let ledger = inherited.map(|(number, action)| {
             let entry = LedgerEntry {
                 action: *action,
-                window: quiet_left,
+                window: effect_left,
                 barrier: None,
             };
             (*number, entry)
         });
         let from_reply = self.mutation == PlanMutation::LeaseFromReply;
-        let is_first = object.fencing == 1 && self.bounds.untouched;
+        let is_first = object.fencing == 1 && self.bounds.unused;
         HeldLease {
             fencing: object.fencing,
             nonce: object.nonce,
@@ -172,12 +171,12 @@
             } else {
                 lease_left
             },
-            quiet_left,
+            effect_left,
             pending: None,
-            // Before the first holder nothing was ever ordered.
-            settled: is_first || self.mutation == PlanMutation::NoBarrierOnTakeover,
+            // No order precedes the first holder of an unused endpoint.
+            confirmed: is_first || self.mutation == PlanMutation::NoBarrierOnTakeover,
             takeover_barrier: None,
-            next_number: object.fencing * NUMBERS,
+            last_number: object.fencing * ORDERS_PER_HOLDER,
             ledger: ledger.collect(),
             view: is_first.then(ReportView::default),
         }
@@ -187,16 +186,16 @@
         let own = state.object.holder == Some(vm) && state.object.nonce == lease.nonce;
         let lost = state.version > lease.version && !own;
         if lease.lease_left == 0 || lost {
-            self.give_up(state, vm, next);
+            self.step_down(state, vm, next);
         }
         if lease.lease_left == 0 {
             return;
         }
         if let Some(pending) = lease.pending {
             if let Some(version) = answered(state, vm, lease.nonce, lease.renewal) {
-                self.landed(state, vm, lease, (version, pending), next);
-            } else if own && state.version == lease.version && state.left.unanswered > 0 {
-                // The write may still land; the next one has its own number.
+                self.write_confirmed(state, vm, lease, (version, pending), next);
+            } else if own && state.version == lease.version && state.remaining.unanswered > 0 {
+                // The write may still take effect; the next one has its own renewal number.
                 let mut lease = lease.clone();
                 lease.pending = None;
                 push_phase(
@@ -210,13 +209,13 @@
             return;
         }
         if state.version > lease.version && own {
-            // An earlier write of this term landed late.
+            // An earlier write of this term took effect late.
             let mut lease = lease.clone();
             lease.version = state.version;
             push_phase(
                 state,
                 vm,
-                PlanStep::LandedLate(vm),
+                PlanStep::LateWriteConfirmed(vm),
                 LeasePhase::Held(lease),
                 next,
             );
@@ -226,40 +225,45 @@
     }
 
     fn write_steps(&self, state: &PlanState, vm: usize, lease: &HeldLease, next: &mut NextStates) {
-        if state.left.writes > 0 && state.left.renewals > 0 {
+        if state.remaining.writes > 0 && state.remaining.renewals > 0 {
             let mut renewing = state.clone();
-            renewing.left.renewals -= 1;
+            renewing.remaining.renewals -= 1;
             self.push_write(&renewing, vm, lease.clone(), PlanStep::Renew(vm), next);
         }
-        if !self.may_order(lease) || state.left.orders == 0 {
+        if !self.may_order(lease) || state.remaining.orders == 0 {
             return;
         }
         for action in lease.allowed_orders(self.bounds.unloads) {
             let mut lease = lease.clone();
-            let number = take_number(&mut lease);
+            let number = assign_number(&mut lease);
             let early = self.mutation == PlanMutation::SendBeforeIntent;
             let entry = LedgerEntry {
                 action,
-                window: if early { window() } else { STAGED },
+                window: if early {
+                    order_window()
+                } else {
+                    UNISSUED_WINDOW
+                },
                 barrier: None,
             };
             lease.ledger.insert(number, entry);
             let mut after = state.clone();
-            after.left.orders -= 1;
+            after.remaining.orders -= 1;
             if early {
                 after
                     .orders
                     .insert(self.new_order(vm, number, action, lease.lease_left));
                 after.vms[vm].phase = LeasePhase::Held(lease);
                 next.push((PlanStep::Issue(vm, action), after));
-            } else if after.left.writes > 0 {
+            } else if after.remaining.writes > 0 {
                 self.push_write(&after, vm, lease, PlanStep::WriteIntent(vm, action), next);
             }
         }
     }
 
-    /// Takes in that a write has landed, and issues what it wrote down.
-    fn landed(
+    /// Adds the step in which the holder learns that its write took effect. It then issues
+    /// the orders in that write.
+    fn write_confirmed(
         &self,
         state: &PlanState,
         vm: usize,
@@ -279,25 +283,25 @@
         let mut after = state.clone();
         if lease.lease_left > 0 {
             for (number, entry) in &mut lease.ledger {
-                if entry.window == STAGED {
-                    entry.window = window();
+                if entry.window == UNISSUED_WINDOW {
+                    entry.window = order_window();
                     let order = self.new_order(vm, *number, entry.action, lease.lease_left);
                     after.orders.insert(order);
                 }
             }
         }
         after.vms[vm].phase = LeasePhase::Held(lease);
-        next.push((PlanStep::Landed(vm), after));
+        next.push((PlanStep::WriteConfirmed(vm), after));
     }
 
-    /// Goes back to watching; orders that are not written yet are dropped.
-    fn give_up(&self, state: &PlanState, vm: usize, next: &mut NextStates) {
-        let phase = LeasePhase::Follower(self.first_sight(state, vm));
+    /// Adds the step in which a VM returns to following and discards its ledger.
+    fn step_down(&self, state: &PlanState, vm: usize, next: &mut NextStates) {
+        let phase = LeasePhase::Follower(self.observe(state, vm));
         push_phase(state, vm, PlanStep::StepDown(vm), phase, next);
     }
 
     pub(super) fn may_order(&self, lease: &HeldLease) -> bool {
-        lease.lease_left > 0 && (lease.quiet_left == 0 || self.bounds.checks_fencing)
+        lease.lease_left > 0 && (lease.effect_left == 0 || self.bounds.checks_fencing)
     }
 
     pub(super) fn new_order(
@@ -306,27 +310,27 @@
         number: OrderNumber,
         action: OrderAction,
         lease_left: u8,
-    ) -> FlyingOrder {
-        let lives_on = self.mutation == PlanMutation::OrdersWithoutDeadline;
-        let left = if lives_on {
-            2 * (self.bounds.lease + MARGIN + DRIFT)
+    ) -> InFlightOrder {
+        let without_deadline = self.mutation == PlanMutation::OrdersWithoutDeadline;
+        let ticks_left = if without_deadline {
+            2 * (self.bounds.lease + ARRIVAL_MARGIN + DRIFT)
         } else {
-            lease_left.min(ORDER_SPAN) + MARGIN
+            lease_left.min(ORDER_LIFETIME) + ARRIVAL_MARGIN
         };
-        FlyingOrder {
+        InFlightOrder {
             number,
             vm,
             action,
-            left,
-            // Sending later than at once adds nothing to arriving later, as
-            // long as nothing is sent after the deadline.
+            ticks_left,
+            // A send after a delay has no effect that a late arrival lacks, as long as
+            // nothing is sent after the deadline.
             sent: self.mutation != PlanMutation::SendLate,
             arrived: false,
         }
     }
 }
 
-/// Returns the version that a write received, once its answer may be known.
+/// Returns the version that a write created, if its answer can arrive.
 fn answered(state: &PlanState, vm: usize, nonce: u8, renewal: u8) -> Option<u8> {
     let mut answers = state.answers.iter();
     let answer = answers
@@ -334,14 +338,14 @@
     answer.map(|answer| answer.version)
 }
 
-/// Returns the ticks until no copy of an order that leaves now can act.
-pub(super) const fn window() -> u8 {
-    ORDER_SPAN + MARGIN + DRIFT
+/// Returns the ticks after which no copy of an order issued now can take effect.
+pub(super) const fn order_window() -> u8 {
+    ORDER_LIFETIME + ARRIVAL_MARGIN + DRIFT
 }
 
-pub(super) fn take_number(lease: &mut HeldLease) -> OrderNumber {
-    lease.next_number += 1;
-    lease.next_number
+pub(super) fn assign_number(lease: &mut HeldLease) -> OrderNumber {
+    lease.last_number += 1;
+    lease.last_number
 }
 
 fn push_phase(
--- a/crates/clementinepond_model/src/plan/ledger.rs
+++ b/crates/clementinepond_model/src/plan/ledger.rs
@@ -2,13 +2,14 @@
 
 use super::mutation::PlanMutation;
 use super::state::{
-    HeldLease, LedgerEntry, MEMORY, ModelName, OrderAction, OrderNumber, ReportView,
+    HeldLease, LedgerEntry, MEMORY_CAPACITY, ModelName, OrderAction, OrderNumber, ReportView,
 };
 use std::collections::BTreeSet;
 
 impl HeldLease {
-    /// Makes an order the barrier of all entries whose window is over.
-    pub(super) fn note_barrier(&mut self, number: OrderNumber) {
+    /// Makes an order the barrier of every entry whose window has ended and that has no
+    /// barrier yet.
+    pub(super) fn record_barrier(&mut self, number: OrderNumber) {
         for entry in self.ledger.values_mut() {
             if entry.window == 0 && entry.barrier.is_none() {
                 entry.barrier = Some(number);
@@ -16,8 +17,8 @@
         }
     }
 
-    /// Takes a report in.
-    pub(super) fn take_report(&mut self, report: ReportView, mutation: PlanMutation) {
+    /// Applies a report and removes the entries whose outcome it shows.
+    pub(super) fn apply_report(&mut self, report: ReportView, mutation: PlanMutation) {
         let proves = |barrier: &OrderNumber| *barrier <= report.last_order;
         self.ledger.retain(|_, entry| {
             let done = is_done(entry, &report);
@@ -28,37 +29,37 @@
             !(over && proved || forgotten)
         });
         if self.takeover_barrier.as_ref().is_some_and(proves) {
-            self.settled = true;
+            self.confirmed = true;
         }
         self.view = Some(report);
     }
 
-    /// Returns whether a report can change anything.
-    pub(super) fn learns_from(&self, report: &ReportView) -> bool {
-        self.view.as_ref() != Some(report) || !self.settled || !self.ledger.is_empty()
+    /// Returns whether a report may change the state of the holder.
+    pub(super) fn is_changed_by(&self, report: &ReportView) -> bool {
+        self.view.as_ref() != Some(report) || !self.confirmed || !self.ledger.is_empty()
     }
 
-    /// Returns whether an order needs a barrier to prove its fate.
+    /// Returns whether the takeover or an order lacks a barrier to show its outcome.
     pub(super) fn needs_barrier(&self) -> bool {
         let unproved = |entry: &LedgerEntry| entry.window == 0 && entry.barrier.is_none();
-        !self.settled && self.takeover_barrier.is_none() || self.ledger.values().any(unproved)
+        !self.confirmed && self.takeover_barrier.is_none() || self.ledger.values().any(unproved)
     }
 
-    /// Returns what may be ordered by what is known of the endpoint.
+    /// Returns the orders that the last report and the ledger allow.
     pub(super) fn allowed_orders(&self, unloads: bool) -> Vec<OrderAction> {
-        let Some(view) = self.view.as_ref().filter(|_| self.settled) else {
+        let Some(view) = self.view.as_ref().filter(|_| self.confirmed) else {
             return Vec::new();
         };
         let mut possible: BTreeSet<ModelName> = view.loaded.clone();
         possible.extend(self.ledger.values().filter_map(loaded));
         let mut allowed = Vec::new();
         for model in [ModelName::M, ModelName::N] {
-            if possible.len() < MEMORY && !possible.contains(&model) {
+            if possible.len() < MEMORY_CAPACITY && !possible.contains(&model) {
                 allowed.push(OrderAction::Load(model));
             }
             let unload = OrderAction::Unload(model);
-            let asked = self.ledger.values().any(|entry| entry.action == unload);
-            if unloads && view.loaded.contains(&model) && !asked {
+            let ordered = self.ledger.values().any(|entry| entry.action == unload);
+            if unloads && view.loaded.contains(&model) && !ordered {
                 allowed.push(unload);
             }
         }
--- a/crates/clementinepond_model/src/plan/mod.rs
+++ b/crates/clementinepond_model/src/plan/mod.rs
@@ -1,18 +1,19 @@
-//! Placement: one lease holder orders one endpoint whose memory holds one
-//! model at a time.
+//! Placement: one lease holder sends orders to one endpoint whose memory holds
+//! one model at a time.
 //!
-//! The lease is an object on the platform; its epoch is the fencing number of
-//! each order. An order is written into the object before it is sent. The
-//! holder keeps each order in a ledger until a report shows what became of
-//! it. The endpoint checks fencing numbers or does not; both are explored.
-//! The endpoint itself refuses nothing for lack of memory.
+//! The lease is an object on the platform. The fencing number in the object
+//! increases with each holder and is part of each order. An order to load or
+//! unload is written to the object before it is sent. The holder keeps it in a
+//! ledger until a report shows its outcome. Endpoints that check fencing numbers
+//! and endpoints that ignore them are both explored. The endpoint never rejects
+//! an order for lack of memory.
 //!
-//! Time is counted in ticks. At one tick of a run, the first holder's clock
-//! may stand still; that is the drift. A VM pauses by doing nothing while time
+//! Time is counted in ticks. The first VM's clock may miss one tick of a run;
+//! this represents the clock drift. A VM pauses by taking no steps while time
 //! passes.
 //!
-//! Assumed: a connection is closed a margin after the deadline of the order
-//! that was sent on it, so that no copy of an order arrives later.
+//! Assumption: the connection on which an order was sent is closed a margin after
+//! the order's deadline, so that no copy arrives later.
 
 mod invariant;
 mod lease;
@@ -28,11 +29,11 @@
 use state::bounds_of;
 use step::PlanModel;
 
-/// Entry in the list of specifications.
+/// Entry of the placement specification.
 pub(crate) const ENTRY: SpecificationEntry = SpecificationEntry {
     name: "plan",
     about: "lease, fencing and endpoints that ignore it: memory is never overcommitted, \
-            and no old order follows a newer holder's",
+            and no order of an older holder takes effect after one of a newer holder",
     mutations: mutation::ENTRIES,
     run,
 };
--- a/crates/clementinepond_model/src/plan/network.rs
+++ b/crates/clementinepond_model/src/plan/network.rs
@@ -1,10 +1,10 @@
-//! Steps of writes, orders and reports on their way, and of the endpoint.
+//! Steps of writes, orders and reports in flight, and of the endpoint.
 
-use super::lease::take_number;
+use super::lease::assign_number;
 use super::mutation::PlanMutation;
 use super::state::{
-    FlyingOrder, FlyingWrite, LeasePhase, MARGIN, NUMBERS, OrderAction, PlanState, ReportView,
-    VmState, WriteAnswer,
+    ARRIVAL_MARGIN, InFlightOrder, InFlightWrite, LeasePhase, ORDERS_PER_HOLDER, OrderAction,
+    PlanState, ReportView, VmState, WriteAnswer,
 };
 use super::step::{NextStates, PlanModel, PlanStep};
 
@@ -12,15 +12,16 @@
     pub(super) fn network_steps(&self, state: &PlanState, next: &mut NextStates) {
         for write in &state.writes {
             if write.if_version == state.version {
-                next.push((PlanStep::Land(write.vm), land(state, write)));
+                next.push((PlanStep::ApplyWrite(write.vm), apply_write(state, write)));
             }
         }
         for order in &state.orders {
-            let in_time = order.left > MARGIN || self.mutation == PlanMutation::SendLate;
+            let in_time =
+                order.ticks_left > ARRIVAL_MARGIN || self.mutation == PlanMutation::SendLate;
             if !order.sent && in_time {
                 next.push((PlanStep::Send(order.vm, order.action), send(state, order)));
             }
-            if order.sent && order.left > 0 {
+            if order.sent && order.ticks_left > 0 {
                 let after = self.deliver(state, order);
                 if after != *state {
                     next.push((PlanStep::Arrive(order.vm, order.action), after));
@@ -32,14 +33,14 @@
         }
     }
 
-    fn deliver(&self, state: &PlanState, order: &FlyingOrder) -> PlanState {
+    fn deliver(&self, state: &PlanState, order: &InFlightOrder) -> PlanState {
         let mut after = state.clone();
         after.orders.remove(order);
-        after.orders.insert(FlyingOrder {
+        after.orders.insert(InFlightOrder {
             arrived: self.mutation == PlanMutation::ReleaseOnAck,
             ..order.clone()
         });
-        let fencing = order.number / NUMBERS;
+        let fencing = order.number / ORDERS_PER_HOLDER;
         let checks = self.bounds.checks_fencing;
         let endpoint = &mut after.endpoint;
         if checks && fencing < endpoint.fencing {
@@ -49,8 +50,8 @@
         if !endpoint.applied.insert(order.number) {
             return after;
         }
-        endpoint.stale_landed |= !checks && fencing < endpoint.newest_landed;
-        endpoint.newest_landed = endpoint.newest_landed.max(fencing);
+        endpoint.stale_applied |= !checks && fencing < endpoint.newest_applied;
+        endpoint.newest_applied = endpoint.newest_applied.max(fencing);
         endpoint.last_order = order.number;
         match order.action {
             OrderAction::Load(model) => {
@@ -66,7 +67,7 @@
 
     pub(super) fn report_steps(&self, state: &PlanState, vm: usize, next: &mut NextStates) {
         let lease = match &state.vms[vm].phase {
-            // What a follower hears is in the start state of some bounds.
+            // Some initial states contain a report in flight to a follower.
             LeasePhase::Follower(_) => return,
             LeasePhase::Acquiring { .. } => None,
             LeasePhase::Held(lease) => Some(lease),
@@ -76,10 +77,10 @@
                 loaded: state.endpoint.loaded.clone(),
                 last_order: state.endpoint.last_order,
             };
-            if lease.is_none_or(|lease| lease.learns_from(&report)) {
+            if lease.is_none_or(|lease| lease.is_changed_by(&report)) {
                 let mut after = state.clone();
                 after.vms[vm].report = Some(report);
-                next.push((PlanStep::TakeReport(vm), after));
+                next.push((PlanStep::SendReport(vm), after));
             }
             return;
         };
@@ -89,7 +90,7 @@
         let mut after = state.clone();
         after.vms[vm].report = None;
         if let LeasePhase::Held(lease) = &mut after.vms[vm].phase {
-            lease.take_report(report.clone(), self.mutation);
+            lease.apply_report(report.clone(), self.mutation);
         }
         next.push((PlanStep::ReceiveReport(vm), after));
     }
@@ -99,17 +100,17 @@
             return;
         };
         let wanted = self.may_order(lease) && lease.needs_barrier();
-        if !wanted || state.left.barriers == 0 {
+        if !wanted || state.remaining.barriers == 0 {
             return;
         }
         let mut lease = lease.clone();
-        let number = take_number(&mut lease);
-        lease.note_barrier(number);
-        if !lease.settled && lease.takeover_barrier.is_none() {
+        let number = assign_number(&mut lease);
+        lease.record_barrier(number);
+        if !lease.confirmed && lease.takeover_barrier.is_none() {
             lease.takeover_barrier = Some(number);
         }
         let mut after = state.clone();
-        after.left.barriers -= 1;
+        after.remaining.barriers -= 1;
         let order = self.new_order(vm, number, OrderAction::Barrier, lease.lease_left);
         after.orders.insert(order);
         after.vms[vm].phase = LeasePhase::Held(lease);
@@ -117,12 +118,12 @@
     }
 }
 
-fn land(state: &PlanState, write: &FlyingWrite) -> PlanState {
+fn apply_write(state: &PlanState, write: &InFlightWrite) -> PlanState {
     let mut after = state.clone();
     after.writes.remove(write);
     after.version += 1;
     after.object = write.object.clone();
-    // Only the latest answer to a VM is waited for.
+    // A VM waits only for the answer to its latest write.
     after.answers.retain(|answer| answer.vm != write.vm);
     after.answers.insert(WriteAnswer {
         vm: write.vm,
@@ -130,24 +131,24 @@
         renewal: write.object.renewal,
         version: after.version,
     });
-    // A conditional update on an older version can never take effect.
+    // A conditional write on an older version can no longer take effect.
     let version = after.version;
     after.writes.retain(|write| write.if_version >= version);
     after
 }
 
-fn send(state: &PlanState, order: &FlyingOrder) -> PlanState {
+fn send(state: &PlanState, order: &InFlightOrder) -> PlanState {
     let mut after = state.clone();
     after.orders.remove(order);
-    after.orders.insert(FlyingOrder {
+    after.orders.insert(InFlightOrder {
         sent: true,
-        left: order.left.max(MARGIN),
+        ticks_left: order.ticks_left.max(ARRIVAL_MARGIN),
         ..order.clone()
     });
     after
 }
 
-fn acknowledge(state: &PlanState, order: &FlyingOrder, next: &mut NextStates) {
+fn acknowledge(state: &PlanState, order: &InFlightOrder, next: &mut NextStates) {
     let mut after = state.clone();
     if let LeasePhase::Held(lease) = &mut after.vms[order.vm].phase
         && lease.ledger.remove(&order.number).is_some()
@@ -157,11 +158,11 @@
 }
 
 impl PlanModel {
-    /// Steps of processes that die.
+    /// Adds the restart of the endpoint and the crashes of VMs.
     pub(super) fn crash_steps(&self, state: &PlanState, next: &mut NextStates) {
-        if state.left.restarts > 0 && state.endpoint.last_order > 0 {
+        if state.remaining.restarts > 0 && state.endpoint.last_order > 0 {
             let mut after = state.clone();
-            after.left.restarts -= 1;
+            after.remaining.restarts -= 1;
             let endpoint = &mut after.endpoint;
             endpoint.loaded.clear();
             endpoint.applied.clear();
@@ -170,12 +171,12 @@
             next.push((PlanStep::RestartEndpoint, after));
         }
         for vm in 0..state.vms.len() {
-            let replaced = VmState::watching(self.first_sight(state, vm));
-            if state.left.crashes == 0 || state.vms[vm] == replaced {
+            let replaced = VmState::follower(self.observe(state, vm));
+            if state.remaining.crashes == 0 || state.vms[vm] == replaced {
                 continue;
             }
             let mut after = state.clone();
-            after.left.crashes -= 1;
+            after.remaining.crashes -= 1;
             after.vms[vm] = replaced;
             after.orders.retain(|order| order.sent || order.vm != vm);
             next.push((PlanStep::Crash(vm), after));
--- a/crates/clementinepond_model/src/plan/state.rs
+++ b/crates/clementinepond_model/src/plan/state.rs
@@ -5,84 +5,90 @@
 use derive_more::Display;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest time from an order's issue to its deadline, in ticks.
-pub(super) const ORDER_SPAN: u8 = 1;
-/// Time after its deadline at which an order may still arrive, in ticks.
-pub(super) const MARGIN: u8 = 1;
-/// Addition to another clock's spans, in ticks.
+/// Longest time from the issue of an order to its deadline, in ticks.
+pub(super) const ORDER_LIFETIME: u8 = 1;
+/// Longest time after its deadline at which an order may still arrive, in ticks.
+pub(super) const ARRIVAL_MARGIN: u8 = 1;
+/// Margin for clock drift on durations that another VM counts, in ticks.
 pub(super) const DRIFT: u8 = 1;
-/// Models that fit into the endpoint's memory.
-pub(super) const MEMORY: usize = 1;
-/// Window of an order that is not yet issued.
-pub(super) const STAGED: u8 = u8::MAX;
-/// Orders that one holder can number.
-pub(super) const NUMBERS: u8 = 10;
+/// Number of models that fit into the endpoint's memory.
+pub(super) const MEMORY_CAPACITY: usize = 1;
+/// Window of an order that is not issued yet.
+pub(super) const UNISSUED_WINDOW: u8 = u8::MAX;
+/// Size of the range of order numbers of one holder.
+pub(super) const ORDERS_PER_HOLDER: u8 = 10;
 
 /// State from which an exploration starts.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum PlanStart {
     #[display("nothing has happened")]
     Fresh,
-    #[display("vm-0 has just taken the lease")]
+    #[display("vm-0 has just acquired the lease")]
     Held,
-    #[display("vm-0 has loaded a model, and a report from before is on its way to vm-1")]
+    #[display("vm-0 has loaded a model, and an older report is in flight to vm-1")]
     Loaded,
 }
 
-/// Limits of the exploration.
+/// Bounds of one exploration: how often each kind of step may happen.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 #[display(
     "from when {start}: 2 VMs, 2 models, {}, {}, {}, {acquisitions} acquisitions for {lease} ticks, {writes} writes, of which {renewals} only \
-     renew, {unanswered} unanswered, {orders} orders, {barriers} barriers, {slips} clock slips, \
+     renew, {unanswered} unanswered, {orders} orders, {barriers} barriers, {missed_ticks} missed ticks, \
      {restarts} endpoint restarts, {crashes} crashes",
     if *checks_fencing { "fencing checked" } else { "fencing ignored" },
     if *unloads { "loads and unloads" } else { "loads" },
-    if *untouched { "endpoint untouched" } else { "endpoint in use" }
+    if *unused { "endpoint unused" } else { "endpoint in use" }
 )]
 pub(super) struct PlanBounds {
     pub(super) start: PlanStart,
-    /// Length of the lease, in ticks.
+    /// Duration of the lease, in ticks.
     pub(super) lease: u8,
+    /// Whether the endpoint checks fencing numbers.
     pub(super) checks_fencing: bool,
     /// Whether models are also unloaded.
     pub(super) unloads: bool,
-    /// Whether the first holder knows that nothing was ever ordered.
-    pub(super) untouched: bool,
+    /// Whether no order was sent before the first acquisition, as its holder knows.
+    pub(super) unused: bool,
     pub(super) acquisitions: u8,
     pub(super) writes: u8,
+    /// Writes that contain no new order.
     pub(super) renewals: u8,
+    /// Writes whose answer is lost.
     pub(super) unanswered: u8,
+    /// Orders to load or unload.
     pub(super) orders: u8,
     pub(super) barriers: u8,
-    pub(super) slips: u8,
+    pub(super) missed_ticks: u8,
+    /// Restarts of the endpoint.
     pub(super) restarts: u8,
+    /// Crashes of VMs.
     pub(super) crashes: u8,
 }
 
-/// Orders of one holder.
+/// Orders of a single holder, with a restart of the endpoint.
 const ONE_HOLDER: PlanBounds = PlanBounds {
     start: PlanStart::Held,
     lease: 4,
     checks_fencing: false,
     unloads: true,
-    untouched: true,
+    unused: true,
     acquisitions: 0,
     writes: 2,
     renewals: 0,
     unanswered: 0,
     orders: 2,
     barriers: 1,
-    slips: 0,
+    missed_ticks: 0,
     restarts: 1,
     crashes: 0,
 };
 
-/// Takeover while an order of the first holder is on its way.
+/// Takeover while an order of the first holder is in flight.
 const TAKEOVER: PlanBounds = PlanBounds {
     lease: 2,
     acquisitions: 1,
     orders: 1,
-    slips: 1,
+    missed_ticks: 1,
     restarts: 0,
     ..ONE_HOLDER
 };
@@ -94,7 +100,7 @@
     unloads: false,
     acquisitions: 1,
     writes: 3,
-    slips: 1,
+    missed_ticks: 1,
     ..ONE_HOLDER
 };
 
@@ -108,22 +114,22 @@
     ..ONE_HOLDER
 };
 
-/// Acquisitions whose writes land late.
+/// Acquisitions whose writes take effect late.
 const LATE_WRITES: PlanBounds = PlanBounds {
     start: PlanStart::Fresh,
     lease: 2,
-    untouched: false,
+    unused: false,
     acquisitions: 3,
     writes: 3,
     orders: 0,
     barriers: 2,
-    slips: 1,
+    missed_ticks: 1,
     restarts: 0,
     ..ONE_HOLDER
 };
 
-/// Returns the bounds to explore one after the other; with a mutation, those
-/// in which its guard matters.
+/// Returns the bounds to explore in turn; with a mutation, those under which its guard
+/// is needed.
 pub(super) fn bounds_of(bounds: Bounds, mutation: PlanMutation) -> Vec<PlanBounds> {
     let small = match mutation {
         PlanMutation::None => vec![
@@ -168,7 +174,7 @@
     N,
 }
 
-/// What an order asks for.
+/// Action that an order requests.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum OrderAction {
     #[display("load {_0}")]
@@ -179,23 +185,26 @@
     Barrier,
 }
 
-/// Number of an order: the fencing number and a count.
+/// Number of an order: the fencing number times `ORDERS_PER_HOLDER`, plus a count from 1.
 pub(super) type OrderNumber = u8;
 
-/// Object on the platform.
+/// Lease object on the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct PlanObject {
+    /// VM that holds the lease; none before the first acquisition.
     pub(super) holder: Option<usize>,
     pub(super) fencing: u8,
-    /// Number that only this acquisition has.
+    /// Unique number of the acquisition.
     pub(super) nonce: u8,
+    /// Number of the write within the acquisition, from 1.
     pub(super) renewal: u8,
+    /// Orders that may still take effect.
     pub(super) orders: BTreeMap<OrderNumber, OrderAction>,
 }
 
-/// Conditional update on its way.
+/// Conditional write that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct FlyingWrite {
+pub(super) struct InFlightWrite {
     pub(super) vm: usize,
     pub(super) if_version: u8,
     pub(super) object: PlanObject,
@@ -210,33 +219,37 @@
     pub(super) version: u8,
 }
 
-/// Order that left, or is about to leave, its holder.
+/// Order that is sent or about to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct FlyingOrder {
+pub(super) struct InFlightOrder {
     pub(super) number: OrderNumber,
     pub(super) vm: usize,
     pub(super) action: OrderAction,
-    /// Ticks until no copy can arrive.
-    pub(super) left: u8,
+    /// Ticks until no copy can arrive, on the clock of the sender.
+    pub(super) ticks_left: u8,
     pub(super) sent: bool,
+    /// Whether a copy has arrived, tracked only for the mutation `ReleaseOnAck`.
     pub(super) arrived: bool,
 }
 
-/// The endpoint.
+/// State of the endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct EndpointState {
     pub(super) loaded: BTreeSet<ModelName>,
+    /// Numbers of the orders that took effect since the last restart.
     pub(super) applied: BTreeSet<OrderNumber>,
+    /// Number of the order that took effect last; zero after a restart.
     pub(super) last_order: OrderNumber,
-    /// Largest fencing number seen; forgotten in a restart.
+    /// Largest fencing number seen; lost in a restart.
     pub(super) fencing: u8,
-    /// Largest fencing number that ever landed.
-    pub(super) newest_landed: u8,
-    /// Whether an order landed after one of a newer holder, without a check.
-    pub(super) stale_landed: bool,
+    /// Largest fencing number of the orders that ever took effect.
+    pub(super) newest_applied: u8,
+    /// Whether an order took effect after one of a newer holder, at an endpoint that does
+    /// not check fencing numbers.
+    pub(super) stale_applied: bool,
 }
 
-/// Report of the endpoint.
+/// Contents of a report of the endpoint.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct ReportView {
     pub(super) loaded: BTreeSet<ModelName>,
@@ -249,33 +262,34 @@
     pub(super) action: OrderAction,
     /// Ticks until no copy can take effect.
     pub(super) window: u8,
-    /// First order issued after the window.
+    /// First order issued after the window; none before it is issued.
     pub(super) barrier: Option<OrderNumber>,
 }
 
 /// Phase of the lease on one VM.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum LeasePhase {
-    /// Watches the object.
+    /// The VM watches the object.
     Follower(SeenObject),
-    /// Sent the first write.
+    /// The VM has sent the write that acquires the lease.
     Acquiring {
         if_version: u8,
         object: PlanObject,
         lease_left: u8,
-        quiet_left: u8,
+        effect_left: u8,
     },
-    /// Holds the lease.
+    /// The VM holds the lease.
     Held(HeldLease),
 }
 
-/// Object as a follower saw it first.
+/// Object as a follower has seen it, counted from the first sight of its version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct SeenObject {
     pub(super) version: u8,
     pub(super) object: PlanObject,
-    pub(super) free_left: u8,
-    pub(super) quiet_left: u8,
+    /// Ticks until the holder can no longer issue orders.
+    pub(super) authority_left: u8,
+    pub(super) effect_left: u8,
 }
 
 /// Holder's view of its lease.
@@ -285,14 +299,20 @@
     pub(super) nonce: u8,
     pub(super) version: u8,
     pub(super) renewal: u8,
+    /// Ticks until the lease ends for the holder.
     pub(super) lease_left: u8,
-    pub(super) quiet_left: u8,
-    /// Ticks of lease that the write under way would give.
+    /// Ticks until no order of earlier holders can take effect.
+    pub(super) effect_left: u8,
+    /// Ticks of lease that the pending write would leave; none without a pending write.
     pub(super) pending: Option<u8>,
-    pub(super) settled: bool,
+    /// Whether a report shows the takeover barrier, or none is needed.
+    pub(super) confirmed: bool,
+    /// First barrier of this holder; none before it is issued.
     pub(super) takeover_barrier: Option<OrderNumber>,
-    pub(super) next_number: OrderNumber,
+    /// Last order number that was assigned.
+    pub(super) last_number: OrderNumber,
     pub(super) ledger: BTreeMap<OrderNumber, LedgerEntry>,
+    /// Last report that was applied.
     pub(super) view: Option<ReportView>,
 }
 
@@ -300,12 +320,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct VmState {
     pub(super) phase: LeasePhase,
-    /// Report that was taken and has not arrived.
+    /// Report in flight to the VM.
     pub(super) report: Option<ReportView>,
 }
 
 impl VmState {
-    pub(super) fn watching(seen: SeenObject) -> Self {
+    pub(super) fn follower(seen: SeenObject) -> Self {
         Self {
             phase: LeasePhase::Follower(seen),
             report: None,
@@ -316,14 +336,14 @@
 /// State of the data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PlanState {
-    /// What may still happen.
-    pub(super) left: PlanBounds,
+    /// Steps that may still happen.
+    pub(super) remaining: PlanBounds,
     pub(super) version: u8,
     pub(super) object: PlanObject,
-    pub(super) writes: BTreeSet<FlyingWrite>,
-    /// Answers to writes that took effect; they may arrive late.
+    pub(super) writes: BTreeSet<InFlightWrite>,
+    /// Answers to writes that took effect and may still arrive.
     pub(super) answers: BTreeSet<WriteAnswer>,
-    pub(super) orders: BTreeSet<FlyingOrder>,
+    pub(super) orders: BTreeSet<InFlightOrder>,
     pub(super) endpoint: EndpointState,
     pub(super) vms: [VmState; 2],
 }
--- a/crates/clementinepond_model/src/plan/step.rs
+++ b/crates/clementinepond_model/src/plan/step.rs
@@ -2,33 +2,34 @@
 
 use super::mutation::PlanMutation;
 use super::state::{
-    FlyingOrder, LeasePhase, MARGIN, OrderAction, PlanBounds, PlanStart, PlanState, STAGED,
+    ARRIVAL_MARGIN, InFlightOrder, LeasePhase, OrderAction, PlanBounds, PlanStart, PlanState,
+    UNISSUED_WINDOW,
 };
 use crate::explore::Specification;
 use derive_more::Display;
 
-/// What may happen.
+/// Event that may happen next.
 #[derive(Debug, Display)]
 pub(super) enum PlanStep {
     #[display("vm-{_0} sees version {_1} of the plan object")]
     Observe(usize, u8),
-    #[display("vm-{_0} sends a write that takes the lease, if the version is still {_1}")]
+    #[display("vm-{_0} sends a write that acquires the lease, if the version is still {_1}")]
     Acquire(usize, u8),
     #[display("vm-{_0} learns that it holds the lease")]
     Acquired(usize),
     #[display("vm-{_0} sends a write that renews the lease")]
     Renew(usize),
-    #[display("vm-{_0} sends a write that holds the order: {_1}")]
+    #[display("vm-{_0} sends a write that contains the order: {_1}")]
     WriteIntent(usize, OrderAction),
     #[display("a write of vm-{_0} takes effect on the platform")]
-    Land(usize),
+    ApplyWrite(usize),
     #[display("vm-{_0} learns that its write took effect, and issues the orders in it")]
-    Landed(usize),
-    #[display("vm-{_0} has no answer to its write and reads the object unchanged")]
+    WriteConfirmed(usize),
+    #[display("vm-{_0} receives no answer to its write and reads the object unchanged")]
     AnswerLost(usize),
     #[display("vm-{_0} learns that an earlier write took effect late")]
-    LandedLate(usize),
-    #[display("vm-{_0} gives up the lease")]
+    LateWriteConfirmed(usize),
+    #[display("vm-{_0} steps down")]
     StepDown(usize),
     #[display("vm-{_0} issues the order: {_1}")]
     Issue(usize, OrderAction),
@@ -36,23 +37,23 @@
     Send(usize, OrderAction),
     #[display("a copy of vm-{_0}'s order arrives: {_1}")]
     Arrive(usize, OrderAction),
-    #[display("vm-{_0} hears that its order was accepted: {_1}")]
+    #[display("vm-{_0} learns that its order was accepted: {_1}")]
     Acknowledge(usize, OrderAction),
-    #[display("the endpoint reports to vm-{_0}; the report is under way")]
-    TakeReport(usize),
+    #[display("the endpoint sends a report to vm-{_0}")]
+    SendReport(usize),
     #[display("vm-{_0} receives the report")]
     ReceiveReport(usize),
     #[display("a tick passes")]
     Tick,
-    #[display("a tick passes that vm-{_0}'s clock does not count")]
-    SlowTick(usize),
+    #[display("a tick passes that vm-{_0}'s clock misses")]
+    MissedTick(usize),
     #[display("the endpoint restarts with empty memory")]
     RestartEndpoint,
     #[display("vm-{_0} crashes and is replaced")]
     Crash(usize),
 }
 
-/// The specification within bounds.
+/// The placement specification within bounds, with at most one mutation.
 #[derive(Debug)]
 pub(super) struct PlanModel {
     pub(super) bounds: PlanBounds,
@@ -86,8 +87,8 @@
         next
     }
 
-    fn breach(&self, state: &PlanState) -> Option<&'static str> {
-        super::invariant::breach(state)
+    fn violated_invariant(&self, state: &PlanState) -> Option<&'static str> {
+        super::invariant::violated_invariant(state)
     }
 }
 
@@ -97,66 +98,69 @@
         if after != *state {
             next.push((PlanStep::Tick, after));
         }
-        if state.left.slips > 0 {
+        if state.remaining.missed_ticks > 0 {
             let mut after = self.tick(state, Some(0));
-            after.left.slips -= 1;
-            next.push((PlanStep::SlowTick(0), after));
+            after.remaining.missed_ticks -= 1;
+            next.push((PlanStep::MissedTick(0), after));
         }
     }
 
-    fn tick(&self, state: &PlanState, slow: Option<usize>) -> PlanState {
+    fn tick(&self, state: &PlanState, missed_by: Option<usize>) -> PlanState {
         let mut after = state.clone();
         for (vm, own) in after.vms.iter_mut().enumerate() {
-            if slow != Some(vm) {
-                pass_time(&mut own.phase);
+            if missed_by != Some(vm) {
+                advance(&mut own.phase);
             }
         }
         let orders = std::mem::take(&mut after.orders);
         let aged = orders.into_iter().map(|order| {
-            let left = if slow == Some(order.vm) {
-                order.left
+            let ticks_left = if missed_by == Some(order.vm) {
+                order.ticks_left
             } else {
-                order.left.saturating_sub(1)
+                order.ticks_left.saturating_sub(1)
             };
-            FlyingOrder { left, ..order }
+            InFlightOrder {
+                ticks_left,
+                ..order
+            }
         });
-        after.orders = aged.filter(|order| self.matters(order)).collect();
+        after.orders = aged.filter(|order| self.may_take_effect(order)).collect();
         after
     }
 
-    /// Returns whether an order can still be sent or arrive.
-    fn matters(&self, order: &FlyingOrder) -> bool {
+    /// Returns whether an order may still be sent or arrive.
+    fn may_take_effect(&self, order: &InFlightOrder) -> bool {
         if order.sent {
-            return order.left > 0;
+            return order.ticks_left > 0;
         }
-        order.left > MARGIN || self.mutation == PlanMutation::SendLate
+        order.ticks_left > ARRIVAL_MARGIN || self.mutation == PlanMutation::SendLate
     }
 }
 
-fn pass_time(phase: &mut LeasePhase) {
-    let count = |left: &mut u8| *left = left.saturating_sub(1);
+fn advance(phase: &mut LeasePhase) {
+    let decrement = |left: &mut u8| *left = left.saturating_sub(1);
     match phase {
         LeasePhase::Follower(seen) => {
-            count(&mut seen.free_left);
-            count(&mut seen.quiet_left);
+            decrement(&mut seen.authority_left);
+            decrement(&mut seen.effect_left);
         }
         LeasePhase::Acquiring {
             lease_left,
-            quiet_left,
+            effect_left,
             ..
         } => {
-            count(lease_left);
-            count(quiet_left);
+            decrement(lease_left);
+            decrement(effect_left);
         }
         LeasePhase::Held(lease) => {
-            count(&mut lease.lease_left);
-            count(&mut lease.quiet_left);
+            decrement(&mut lease.lease_left);
+            decrement(&mut lease.effect_left);
             if let Some(pending) = &mut lease.pending {
-                count(pending);
+                decrement(pending);
             }
             for entry in lease.ledger.values_mut() {
-                if entry.window != STAGED {
-                    count(&mut entry.window);
+                if entry.window != UNISSUED_WINDOW {
+                    decrement(&mut entry.window);
                 }
             }
         }
--- a/crates/clementinepond_model/tests/model.rs
+++ b/crates/clementinepond_model/tests/model.rs
@@ -1,25 +1,26 @@
-//! The specifications hold within small bounds, and because of their guards.
+//! Tests that each specification holds within the small bounds, and that each
+//! mutation violates an invariant.
 
 use clementinepond_model::{Bounds, ExplorationReport, SPECIFICATIONS, SpecificationEntry};
 use std::sync::LazyLock;
 
-/// Explorations of the whole protocols, shared by all tests.
-static WHOLE: [LazyLock<ExplorationReport>; 4] = [
-    LazyLock::new(|| explore_whole("limit")),
-    LazyLock::new(|| explore_whole("claim")),
-    LazyLock::new(|| explore_whole("plan")),
-    LazyLock::new(|| explore_whole("configuration")),
+/// Explorations without a mutation, shared by all tests.
+static UNMODIFIED: [LazyLock<ExplorationReport>; 4] = [
+    LazyLock::new(|| explore_unmodified("limit")),
+    LazyLock::new(|| explore_unmodified("claim")),
+    LazyLock::new(|| explore_unmodified("plan")),
+    LazyLock::new(|| explore_unmodified("configuration")),
 ];
 
 #[expect(clippy::unwrap_used, reason = "a test fails by panicking")]
-fn explore_whole(name: &str) -> ExplorationReport {
+fn explore_unmodified(name: &str) -> ExplorationReport {
     entry(name).explore(Bounds::Small, None).unwrap()
 }
 
 #[expect(clippy::unwrap_used, reason = "a test fails by panicking")]
-fn whole(name: &str) -> &'static ExplorationReport {
+fn unmodified(name: &str) -> &'static ExplorationReport {
     let index = SPECIFICATIONS.iter().position(|entry| entry.name == name);
-    &WHOLE[index.unwrap()]
+    &UNMODIFIED[index.unwrap()]
 }
 
 #[expect(clippy::unwrap_used, reason = "a test fails by panicking")]
@@ -28,8 +29,8 @@
     entries.find(|entry| entry.name == name).unwrap()
 }
 
-fn holds(name: &str) {
-    let report = whole(name);
+fn assert_holds(name: &str) {
+    let report = unmodified(name);
     assert_eq!(report.violation, None, "{report}");
     assert!(report.explorations.iter().all(|size| size.states > 100));
 }
@@ -39,64 +40,68 @@
     clippy::panic,
     reason = "a test fails by panicking"
 )]
-fn breaks_without_each_guard(name: &str) {
+fn assert_needs_each_guard(name: &str) {
     let entry = entry(name);
-    let whole = whole(name);
+    let unmodified = unmodified(name);
     for mutation in entry.mutations {
         let report = entry.explore(Bounds::Small, Some(mutation.name)).unwrap();
         let violation = report.violation.as_ref();
-        let violation = violation.unwrap_or_else(|| panic!("{name} holds without {mutation:?}"));
+        let violation = violation.unwrap_or_else(|| panic!("{name} holds with {mutation:?}"));
         assert!(violation.steps.len() > 1, "{report}");
-        // The guard is shown to matter only where the whole protocol holds.
+        // A violation shows that the guard is needed only under bounds within which
+        // the specification without a mutation holds.
         for size in &report.explorations {
-            let mut sound = whole.explorations.iter().filter(|other| !other.breached);
-            assert!(sound.any(|other| other.bounds == size.bounds), "{report}");
+            let mut holding = unmodified
+                .explorations
+                .iter()
+                .filter(|other| !other.violated);
+            assert!(holding.any(|other| other.bounds == size.bounds), "{report}");
         }
     }
 }
 
 #[test]
 fn limit_holds() {
-    holds("limit");
+    assert_holds("limit");
 }
 
 #[test]
 fn claim_holds() {
-    holds("claim");
+    assert_holds("claim");
 }
 
 #[test]
 fn plan_holds() {
-    holds("plan");
+    assert_holds("plan");
 }
 
 #[test]
 fn configuration_holds() {
-    holds("configuration");
+    assert_holds("configuration");
 }
 
 #[test]
 fn limit_needs_each_guard() {
-    breaks_without_each_guard("limit");
+    assert_needs_each_guard("limit");
 }
 
 #[test]
 fn claim_needs_each_guard() {
-    breaks_without_each_guard("claim");
+    assert_needs_each_guard("claim");
 }
 
 #[test]
 fn plan_needs_each_guard() {
-    breaks_without_each_guard("plan");
+    assert_needs_each_guard("plan");
 }
 
 #[test]
 fn configuration_needs_each_guard() {
-    breaks_without_each_guard("configuration");
+    assert_needs_each_guard("configuration");
 }
 
 #[test]
-fn a_trace_reads_as_numbered_steps() {
+fn counterexample_lists_numbered_steps() {
     let mutation = Some("accept_older");
     let report = entry("configuration")
         .explore(Bounds::Small, mutation)
@@ -106,12 +111,12 @@
         text.contains("  1. the operator writes version 1\n"),
         "{text}"
     );
-    let end = "broken: a version in force was replaced by an older one";
+    let end = "violated: a version in force was replaced by an older one";
     assert!(text.ends_with(end), "{text}");
 }
 
 #[test]
-fn an_unknown_mutation_is_refused() {
+fn unknown_mutation_is_rejected() {
     for entry in SPECIFICATIONS {
         let error = entry.explore(Bounds::Small, Some("none_such")).unwrap_err();
         assert!(error.to_string().contains(entry.mutations[0].name));
