--- a/crates/clementinepond_model/src/claim/state.rs
+++ b/crates/clementinepond_model/src/claim/state.rs
@@ -16,7 +16,7 @@
     Regranted,
 }
 
-/// Bounds of one exploration: how often each kind of step may happen.
+/// Bounds of one exploration: sizes, and how often each kind of step may happen.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 #[display(
     "from when {start}: 2 owners, 1 replica, {calls} calls, {requests} claims, {changes} owner changes, {writes} writes, \
@@ -225,7 +225,7 @@
     pub(super) incarnation: u8,
     /// Term of the stored copy.
     pub(super) term: u8,
-    /// Lowest term whose copies it still acknowledges.
+    /// Term promised to a new owner; copies of lower terms are refused.
     pub(super) promised: u8,
     pub(super) sequence: u8,
     pub(super) record: ClaimRecord,
@@ -270,11 +270,11 @@
             OwnerStage::Idle | OwnerStage::Collecting(_) => None,
         };
         let shards: Vec<HeldShard> = self.owners.iter().filter_map(holding).collect();
-        let waits = |shard: &HeldShard, number: &(u8, u8, u8)| {
-            !shard.durable && (shard.term, shard.sequence) == (number.0, number.1)
+        let waits = |shard: &HeldShard, acknowledgement: &(u8, u8, u8)| {
+            !shard.durable && (shard.term, shard.sequence) == (acknowledgement.0, acknowledgement.1)
         };
         self.acknowledged
-            .retain(|number| shards.iter().any(|shard| waits(shard, number)));
+            .retain(|acknowledgement| shards.iter().any(|shard| waits(shard, acknowledgement)));
         let commits = |shard: &HeldShard| shard.commit.map(|commit| commit.nonce);
         self.answers
             .retain(|nonce| shards.iter().any(|shard| commits(shard) == Some(*nonce)));
--- a/crates/clementinepond_model/src/configuration/state.rs
+++ b/crates/clementinepond_model/src/configuration/state.rs
@@ -4,7 +4,7 @@
 use derive_more::Display;
 use std::collections::BTreeSet;
 
-/// Bounds of one exploration: how often each kind of step may happen.
+/// Bounds of one exploration: sizes, and how often each kind of step may happen.
 #[derive(Debug, Display, Clone, Copy)]
 #[display(
     "{vms} VMs, {versions} versions, {restarts} restarts, {disconnections} disconnections, {outages} outages"
--- a/crates/clementinepond_model/src/limit/state.rs
+++ b/crates/clementinepond_model/src/limit/state.rs
@@ -21,7 +21,7 @@
 /// Ticks left of an admission without a deadline.
 pub(super) const NEVER: u8 = u8::MAX;
 
-/// Bounds of one exploration: how often each kind of step may happen.
+/// Bounds of one exploration: sizes, and how often each kind of step may happen.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 #[display(
     "2 VMs, {polls} polls, {missed_ticks} missed ticks, {restarts} restarts, {moves} moved parts"
--- a/crates/clementinepond_model/src/plan/state.rs
+++ b/crates/clementinepond_model/src/plan/state.rs
@@ -29,7 +29,7 @@
     Loaded,
 }
 
-/// Bounds of one exploration: how often each kind of step may happen.
+/// Bounds of one exploration: sizes, and how often each kind of step may happen.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 #[display(
     "from when {start}: 2 VMs, 2 models, {}, {}, {}, {acquisitions} acquisitions for {lease} ticks, {writes} writes, of which {renewals} only \
