--- a/crates/clementinepond_model/src/claim/mutation.rs
+++ b/crates/clementinepond_model/src/claim/mutation.rs
@@ -10,7 +10,8 @@
         SkipCollect "skip_collect" "a new owner grants without the records of a witness",
         CopyBeforeWitness "copy_before_witness"
             "copies count as durable before the stored object names the replica",
-        ForgetUnreportedRun "forget_unreported_run" "the claim of a run without a report becomes free",
+        ForgetUnreportedRun "forget_unreported_run"
+            "the claim of a run without a report becomes free",
         ReleaseAnyHolder "release_any_holder"
             "a report that nothing ran frees the claim of another call",
         AdoptCopyHolder "adopt_copy_holder"
--- a/crates/clementinepond_model/src/plan/mutation.rs
+++ b/crates/clementinepond_model/src/plan/mutation.rs
@@ -16,9 +16,11 @@
     ForgetInheritedOrders "forget_inherited_orders"
         "ignores the orders stored by the previous holder",
     SendBeforeIntent "send_before_intent" "sends an order before its intent is stored",
-    OrdersWithoutDeadline "orders_without_deadline" "sends orders whose deadline does not end with the lease",
+    OrdersWithoutDeadline "orders_without_deadline"
+        "sends orders whose deadline does not end with the lease",
     SendLate "send_late" "a paused holder sends an order after its deadline",
-    LeaseFromReply "lease_from_reply" "counts the lease from the reply to a write instead of from its send",
+    LeaseFromReply "lease_from_reply"
+        "counts the lease from the reply to a write instead of from its send",
     ReuseNonce "reuse_nonce" "cannot tell its own acquisition from an earlier one",
     IgnoreDrift "ignore_drift" "takes over without a margin for clock drift",
     }
