--- a/crates/clementinepond/src/command/demo.rs
+++ b/crates/clementinepond/src/command/demo.rs
@@ -1,7 +1,7 @@
 //! `demo`: runs a complete deployment in this process.
 
 use super::CommandError;
-use crate::output::{EXIT_FAILURE, open_log};
+use crate::output::{EXIT_FAILURE, init_logging};
 use clementinepond_demo::{DemoOptions, DemoReport, Deployment, run_demo, run_overhead};
 use clementinepond_types::TimeSpan;
 use gumdrop::Options;
@@ -68,7 +68,7 @@
             "--seconds or --rate is not above 0; set both to numbers above 0",
         ));
     }
-    open_log(&command.log_level);
+    init_logging(&command.log_level);
     if command.overhead {
         return measure_overhead(command);
     }
--- a/crates/clementinepond/src/command/entry.rs
+++ b/crates/clementinepond/src/command/entry.rs
@@ -1,7 +1,7 @@
 //! `entry`: runs an entry VM in front of a hosted fleet.
 
 use super::CommandError;
-use clementinepond_entry::{open_log, run_entry};
+use clementinepond_entry::{init_logging, run_entry};
 use gumdrop::Options;
 use log::LevelFilter;
 use std::path::PathBuf;
@@ -31,7 +31,7 @@
 }
 
 pub(crate) fn run(options: &EntryOptions) -> Result<ExitCode, CommandError> {
-    open_log(options.log_level);
+    init_logging(options.log_level);
     run_entry(&options.settings)?;
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/clementinepond/src/command/serve.rs
+++ b/crates/clementinepond/src/command/serve.rs
@@ -1,7 +1,7 @@
 //! `serve`: runs a VM of the full system.
 
 use super::CommandError;
-use crate::output::open_log;
+use crate::output::init_logging;
 use clementinepond_daemon::RunningDaemon;
 use clementinepond_settings::vm::VmSettings;
 use gumdrop::Options;
@@ -23,7 +23,7 @@
 
 pub(crate) fn run(options: &ServeOptions) -> Result<ExitCode, CommandError> {
     let settings = VmSettings::read_file(&options.settings)?;
-    open_log(&settings.telemetry.log_level);
+    init_logging(&settings.telemetry.log_level);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
--- a/crates/clementinepond/src/command/stand_in.rs
+++ b/crates/clementinepond/src/command/stand_in.rs
@@ -2,7 +2,7 @@
 
 use super::CommandError;
 use super::assignment::{assign, list};
-use crate::output::open_log;
+use crate::output::init_logging;
 use clementinepond_standin::engine::{EngineOptions, EngineServer};
 use clementinepond_standin::platform::{PlatformOptions, PlatformServer};
 use clementinepond_standin::service::{ServiceOptions, ServiceServer};
@@ -55,7 +55,7 @@
         print!("{lines}");
         return Ok(ExitCode::SUCCESS);
     }
-    open_log(&options.log_level);
+    init_logging(&options.log_level);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
--- a/crates/clementinepond/src/output/log_line.rs
+++ b/crates/clementinepond/src/output/log_line.rs
@@ -7,7 +7,7 @@
 ///
 /// Lines below `level` and lines of third-party crates are dropped. Has no effect
 /// when a logger is already installed.
-pub(crate) fn open_log(level: &str) {
+pub(crate) fn init_logging(level: &str) {
     let mut builder = Builder::new();
     builder
         .parse_filters(&format!("off,clementinepond={level},clementinepond_daemon={level},clementinepond_standin={level}"))
--- a/crates/clementinepond/src/output/mod.rs
+++ b/crates/clementinepond/src/output/mod.rs
@@ -5,7 +5,7 @@
 mod message;
 
 #[cfg(feature = "suite")]
-pub(crate) use log_line::open_log;
+pub(crate) use log_line::init_logging;
 pub(crate) use message::print_error;
 
 /// Exit code when a run failed or violated an invariant.
--- a/crates/clementinepond_dispatch/src/health/endpoint_health.rs
+++ b/crates/clementinepond_dispatch/src/health/endpoint_health.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns the decayed weights of failures and of all outcomes.
-    pub fn rates(&mut self, now: LocalTime) -> (f64, f64) {
+    pub fn outcome_weights(&mut self, now: LocalTime) -> (f64, f64) {
         self.decay(now);
         (self.failures, self.failures + self.successes)
     }
--- a/crates/clementinepond_dispatch/src/health/health_table.rs
+++ b/crates/clementinepond_dispatch/src/health/health_table.rs
@@ -48,7 +48,7 @@
             return !was_ejected;
         }
         let is_unreachable = outcome == EndpointOutcome::Unreachable;
-        let (failures, total) = health.rates(now);
+        let (failures, total) = health.outcome_weights(now);
         let share = failures / total.max(1.0);
         if !is_unreachable && (failures < MIN_FAILURE_WEIGHT || share < MIN_FAILURE_SHARE) {
             return false;
@@ -98,7 +98,7 @@
     }
 
     /// Removes an endpoint that has left or restarted.
-    pub fn forget(&mut self, id: &EndpointId) {
+    pub fn remove(&mut self, id: &EndpointId) {
         self.endpoints.remove(id);
     }
 
@@ -107,7 +107,7 @@
         let mut total = 0.0;
         for peer in peers.iter().filter(|peer| *peer != id) {
             if let Some(health) = self.endpoints.get_mut(peer) {
-                let (failed, all) = health.rates(now);
+                let (failed, all) = health.outcome_weights(now);
                 failures += failed;
                 total += all;
             }
--- a/crates/clementinepond_dispatch/src/lease/mod.rs
+++ b/crates/clementinepond_dispatch/src/lease/mod.rs
@@ -56,7 +56,7 @@
         holder_live: bool,
         /// Delay after a tick with a live holder before this VM may try to take the
         /// lease, so that better suited VMs try first.
-        head_start: TimeSpan,
+        takeover_delay: TimeSpan,
     },
     /// The object was read.
     Read(StoredLease),
@@ -92,12 +92,12 @@
         /// New content of the object.
         record: LeaseRecord,
     },
-    /// This VM now holds the lease and may send orders from `order_from` on.
+    /// This VM now holds the lease and may send orders from `orders_allowed_from` on.
     Acquired {
         /// Fencing number of the lease.
         fence: u64,
         /// Time from which orders may be sent.
-        order_from: LocalTime,
+        orders_allowed_from: LocalTime,
         /// Whether the object, as last read, named no other VM as holder or previous
         /// holder; orders may then be sent at once.
         is_resumed: bool,
@@ -111,7 +111,7 @@
     fence: u64,
     revision: u64,
     valid_until: LocalTime,
-    order_from: LocalTime,
+    orders_allowed_from: LocalTime,
     previous: Option<VmId>,
 }
 
@@ -168,7 +168,7 @@
     #[must_use]
     pub fn fence(&self, now: LocalTime) -> Option<u64> {
         let held = self.held.as_ref()?;
-        let may_order = now >= held.order_from && now + STOP_MARGIN < held.valid_until;
+        let may_order = now >= held.orders_allowed_from && now + STOP_MARGIN < held.valid_until;
         may_order.then_some(held.fence)
     }
 
@@ -187,8 +187,8 @@
         match event {
             LeaseEvent::Tick {
                 holder_live,
-                head_start,
-            } => self.tick(holder_live, head_start, now),
+                takeover_delay,
+            } => self.tick(holder_live, takeover_delay, now),
             LeaseEvent::Read(stored) => {
                 self.call_started_at = None;
                 self.record_read(stored, now)
@@ -217,7 +217,7 @@
     fn tick(
         &mut self,
         holder_live: bool,
-        head_start: TimeSpan,
+        takeover_delay: TimeSpan,
         now: LocalTime,
     ) -> Vec<LeaseEffect> {
         let mut effects = Vec::new();
@@ -235,7 +235,10 @@
         }
         if let Some(held) = &self.held {
             let expected = held.revision;
-            let previous = held.previous.clone().filter(|_| now < held.order_from);
+            let previous = held
+                .previous
+                .clone()
+                .filter(|_| now < held.orders_allowed_from);
             let call = if self.last_read.is_none() {
                 LeaseEffect::Read
             } else {
@@ -248,7 +251,7 @@
             effects.extend(self.try_acquire(now));
         } else {
             self.last_read = None;
-            self.next_call = now + head_start;
+            self.next_call = now + takeover_delay;
         }
         effects
     }
@@ -356,7 +359,7 @@
                 holder.or(record.previous)
             });
         let is_resumed = previous.is_none();
-        let order_from = if is_resumed {
+        let orders_allowed_from = if is_resumed {
             now
         } else {
             let last_order = self.previous_last_order.take().unwrap_or(now);
@@ -366,13 +369,13 @@
             fence: revision,
             revision,
             valid_until,
-            order_from,
+            orders_allowed_from,
             previous,
         });
         self.next_call = now + RENEWAL_INTERVAL;
         vec![LeaseEffect::Acquired {
             fence: revision,
-            order_from,
+            orders_allowed_from,
             is_resumed,
         }]
     }
--- a/crates/clementinepond_dispatch/src/lib.rs
+++ b/crates/clementinepond_dispatch/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod lease;
 pub mod load;
 pub mod peer;
-pub mod place;
+pub mod placement;
 pub mod quota;
 pub mod select;
 pub mod suspect;
--- a/crates/clementinepond_dispatch/src/load/load_table.rs
+++ b/crates/clementinepond_dispatch/src/load/load_table.rs
@@ -74,7 +74,7 @@
 
     /// Replaces a peer's load with that of its heartbeat.
     pub fn set_peer(&mut self, peer: &VmId, loads: Vec<(NameHash, EndpointLoad)>) {
-        self.forget_peer(peer);
+        self.remove_peer(peer);
         for (key, load) in &loads {
             let remote = self.remote.entry(*key).or_default();
             *remote = remote.plus(*load);
@@ -83,7 +83,7 @@
     }
 
     /// Removes a peer's load.
-    pub fn forget_peer(&mut self, peer: &VmId) {
+    pub fn remove_peer(&mut self, peer: &VmId) {
         for (key, load) in self.by_peer.remove(peer).unwrap_or_default() {
             if let Some(remote) = self.remote.get_mut(&key) {
                 *remote = remote.minus(load);
@@ -116,7 +116,7 @@
     }
 
     /// Removes the prefill queue of an endpoint that has restarted or left.
-    pub fn forget_queue(&mut self, key: NameHash) {
+    pub fn remove_queue(&mut self, key: NameHash) {
         self.queues.remove(&key);
     }
 
--- a/crates/clementinepond_dispatch/src/peer/peer_table.rs
+++ b/crates/clementinepond_dispatch/src/peer/peer_table.rs
@@ -71,7 +71,7 @@
 
 impl PeerTable {
     /// Adds a peer or updates its address; returns whether the peer or address is new.
-    pub fn learn(&mut self, vm: &VmId, address: SocketAddrV4, now: LocalTime) -> bool {
+    pub fn record_address(&mut self, vm: &VmId, address: SocketAddrV4, now: LocalTime) -> bool {
         if let Some(peer) = self.peers.get_mut(vm) {
             let is_moved = peer.address != address;
             peer.address = address;
@@ -97,7 +97,7 @@
         heartbeat: Box<PeerHeartbeat>,
         now: LocalTime,
     ) -> Option<Vec<RemoteUsage>> {
-        self.learn(vm, address, now);
+        self.record_address(vm, address, now);
         let peer = self.peers.get_mut(vm)?;
         let before = peer.heartbeat.as_ref();
         let is_same_process = before.is_some_and(|old| old.incarnation == heartbeat.incarnation);
--- a/crates/clementinepond_dispatch/src/place/planner/adapters.rs
+++ b/crates/clementinepond_dispatch/src/placement/planner/adapters.rs
@@ -4,8 +4,8 @@
 use crate::fleet::EnginePolicy;
 use crate::load::NameHash;
 use crate::peer::AdapterLocation;
-use crate::place::order::EndpointOrder;
-use crate::place::order_tracker::AdapterPhase;
+use crate::placement::order::EndpointOrder;
+use crate::placement::order_tracker::AdapterPhase;
 use clementinepond_types::{LocalTime, TimeSpan};
 
 /// Time since the last request for an adapter after which it may be evicted. An adapter
@@ -50,8 +50,8 @@
                         adapter: adapter_hash(&wait.model, &wait.adapter),
                     };
                     for vm in wait.vms {
-                        let place = location.clone();
-                        effects.push(PlannerEffect::AdapterReady { vm, place });
+                        let location = location.clone();
+                        effects.push(PlannerEffect::AdapterReady { vm, location });
                     }
                     continue;
                 }
--- a/crates/clementinepond_dispatch/src/place/planner/mod.rs
+++ b/crates/clementinepond_dispatch/src/placement/planner/mod.rs
@@ -7,8 +7,8 @@
 use crate::fleet::{EndpointEntry, EnginePolicy};
 use crate::load::NameHash;
 use crate::peer::{AdapterLocation, ModelDemand, PlacementUpdate};
-use crate::place::order::{EndpointOrder, EndpointStatus, OrderReply, SentOrder};
-use crate::place::order_tracker::{AdapterPhase, HeldAdapter, OrderTracker};
+use crate::placement::order::{EndpointOrder, EndpointStatus, OrderReply, SentOrder};
+use crate::placement::order_tracker::{AdapterPhase, HeldAdapter, OrderTracker};
 use clementinepond_types::{AdapterId, EndpointId, LocalTime, ModelId, TimeSpan, VmId};
 use fnv::FnvHashMap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
         /// VM that requested the adapter.
         vm: VmId,
         /// Endpoint and adapter.
-        place: AdapterLocation,
+        location: AdapterLocation,
     },
     /// Log the start of a move.
     MoveStarted {
--- a/crates/clementinepond_dispatch/src/place/planner/moves.rs
+++ b/crates/clementinepond_dispatch/src/placement/planner/moves.rs
@@ -3,11 +3,11 @@
 use super::{MoveTask, PlacementPlanner, PlannerEffect, PlannerInput};
 use crate::fleet::{EndpointEntry, EnginePolicy};
 use crate::load::NameHash;
-use crate::place::choose::{choose_move, load_time};
-use crate::place::demand::utilization;
-use crate::place::order::EndpointOrder;
-use crate::place::order_tracker::OrderTracker;
-use crate::place::view::{EngineView, ModelView, PlacementView};
+use crate::placement::choose::{choose_move, load_time};
+use crate::placement::demand::utilization;
+use crate::placement::order::EndpointOrder;
+use crate::placement::order_tracker::OrderTracker;
+use crate::placement::view::{EngineView, ModelView, PlacementView};
 use clementinepond_types::{EndpointId, LocalTime, ModelId, TimeSpan};
 
 /// Time between the announcement of an unload and its order; covers the delivery of the
--- a/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
+++ b/crates/clementinepond_dispatch/src/select/prefix_cache_index.rs
@@ -70,7 +70,7 @@
     }
 
     /// Removes an endpoint whose cache was lost.
-    pub fn forget(&mut self, endpoint: NameHash) {
+    pub fn remove(&mut self, endpoint: NameHash) {
         self.endpoints.remove(&endpoint);
     }
 }
--- a/crates/clementinepond_dispatch/tests/placement.rs
+++ b/crates/clementinepond_dispatch/tests/placement.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test stops at the first error")]
 
-use clementinepond_dispatch::place::{EngineView, ModelView, PlacementView, choose_move};
+use clementinepond_dispatch::placement::{EngineView, ModelView, PlacementView, choose_move};
 use clementinepond_types::TimeSpan;
 
 fn model(name: &str, utilization: f64) -> ModelView {
--- a/crates/clementinepond_dispatch/tests/planner.rs
+++ b/crates/clementinepond_dispatch/tests/planner.rs
@@ -11,7 +11,7 @@
 use clementinepond_dispatch::fleet::{EndpointEntry, EnginePolicy};
 use clementinepond_dispatch::load::NameHash;
 use clementinepond_dispatch::peer::ModelDemand;
-use clementinepond_dispatch::place::{
+use clementinepond_dispatch::placement::{
     EndpointOrder, EndpointStatus, OrderReply, PlacementPlanner, PlannerEffect, PlannerInput,
     SentOrder,
 };
--- a/crates/clementinepond_entry/src/caller/admission.rs
+++ b/crates/clementinepond_entry/src/caller/admission.rs
@@ -11,7 +11,7 @@
 use clementinepond_dispatch::quota::QuotaVerdict;
 use clementinepond_dispatch::select::stream_stall_timeout;
 use clementinepond_dispatch::table::{KeyCheck, RouteTable, pick_service};
-use clementinepond_platform::{KeyText, read_key};
+use clementinepond_platform::{CallerKey, read_key};
 use clementinepond_types::{AccountId, LocalTime, TimeSpan};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
@@ -160,8 +160,8 @@
     now: LocalTime,
 ) -> Result<Option<AccountId>, LocalAnswer> {
     let digest = match read_key(&parts.headers) {
-        KeyText::Present(digest) => Some(digest),
-        KeyText::Absent => None,
+        CallerKey::Present(digest) => Some(digest),
+        CallerKey::Absent => None,
     };
     match table.check_key(route, digest.as_ref()) {
         KeyCheck::Account(id) => Ok(Some(id.clone())),
--- a/crates/clementinepond_entry/src/endpoint/attempt.rs
+++ b/crates/clementinepond_entry/src/endpoint/attempt.rs
@@ -6,7 +6,7 @@
 use crate::node::EntryNode;
 use bytes::Bytes;
 use clementinepond_platform::{
-    AnswerMark, AttemptHeaders, read_answer, read_keep_alive, write_attempt_headers,
+    AnswerHeaders, AttemptHeaders, read_answer, read_keep_alive, write_attempt_headers,
 };
 use clementinepond_types::{EndpointId, LocalTime, RequestId, TimeSpan};
 use derive_more::{Display, Error};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) struct AttemptAnswer {
     pub(crate) response: Response<Incoming>,
-    pub(crate) mark: AnswerMark,
+    pub(crate) mark: AnswerHeaders,
     pub(crate) connection: AnswerConnection,
 }
 
--- a/crates/clementinepond_entry/src/lib.rs
+++ b/crates/clementinepond_entry/src/lib.rs
@@ -17,6 +17,6 @@
 mod settings;
 mod store;
 
-pub use log_sink::{LogSink, open_log};
+pub use log_sink::{LogSink, init_logging};
 pub use run::{EntryError, run_entry};
 pub use settings::{EntrySettings, SettingsError, entry_reference_page};
--- a/crates/clementinepond_entry/src/log_sink/mod.rs
+++ b/crates/clementinepond_entry/src/log_sink/mod.rs
@@ -44,7 +44,7 @@
 };
 
 /// Installs the logger with a maximum level; has no effect if a logger is installed already.
-pub fn open_log(level: LevelFilter) {
+pub fn init_logging(level: LevelFilter) {
     if log::set_logger(&SINK).is_ok() {
         log::set_max_level(level);
     }
--- a/crates/clementinepond_entry/src/node/entry_node.rs
+++ b/crates/clementinepond_entry/src/node/entry_node.rs
@@ -14,7 +14,7 @@
 use clementinepond_dispatch::lease::PlacementLease;
 use clementinepond_dispatch::load::{LoadTable, NameHash};
 use clementinepond_dispatch::peer::PeerTable;
-use clementinepond_dispatch::place::{DemandMeter, PlacementPlanner};
+use clementinepond_dispatch::placement::{DemandMeter, PlacementPlanner};
 use clementinepond_dispatch::quota::RateLimiter;
 use clementinepond_dispatch::select::PrefixCacheIndex;
 use clementinepond_dispatch::suspect::CrashSuspects;
--- a/crates/clementinepond_entry/src/node/fleet_state.rs
+++ b/crates/clementinepond_entry/src/node/fleet_state.rs
@@ -261,11 +261,11 @@
         let models = entry.models.len();
         let change = state.directory.update(entry, now);
         if change == EndpointChange::Joined {
-            state.health.forget(&id);
+            state.health.remove(&id);
             state.slowdowns.remove(&id);
             let key = NameHash::of(id.as_str());
-            state.prefix_cache.forget(key);
-            state.loads.forget_queue(key);
+            state.prefix_cache.remove(key);
+            state.loads.remove_queue(key);
         }
         if change != EndpointChange::Same {
             log::info!(
@@ -359,12 +359,12 @@
         let mut state = self.state.borrow_mut();
         for id in state.directory.sweep(now) {
             if state.directory.get(&id).is_none() {
-                state.health.forget(&id);
+                state.health.remove(&id);
                 state.slowdowns.remove(&id);
                 state.service_times_ms.remove(&id);
                 let key = NameHash::of(id.as_str());
-                state.prefix_cache.forget(key);
-                state.loads.forget_queue(key);
+                state.prefix_cache.remove(key);
+                state.loads.remove_queue(key);
                 self.pool.forget(&id);
                 log::info!("event=endpoint_gone endpoint={id}");
             }
--- a/crates/clementinepond_entry/src/node/peers.rs
+++ b/crates/clementinepond_entry/src/node/peers.rs
@@ -23,7 +23,12 @@
         if *vm == self.settings().vm {
             return;
         }
-        if self.state.borrow_mut().peers.learn(vm, address, now) {
+        if self
+            .state
+            .borrow_mut()
+            .peers
+            .record_address(vm, address, now)
+        {
             log::info!("event=peer_learned peer={vm} address={address}");
         }
     }
@@ -232,7 +237,7 @@
     pub(crate) fn sweep_peers(&self, now: LocalTime) {
         let mut state = self.state.borrow_mut();
         for vm in state.peers.sweep(now) {
-            state.loads.forget_peer(&vm);
+            state.loads.remove_peer(&vm);
             log::info!("event=peer_lost peer={vm}");
         }
         let silent: Vec<VmId> = state
@@ -244,7 +249,7 @@
         for vm in silent {
             // The requests of a peer that has been silent for more than 2 s no longer count:
             // it cannot be told apart from a stopped VM.
-            state.loads.forget_peer(&vm);
+            state.loads.remove_peer(&vm);
         }
         let (live, known) = state.peers.peer_counts(now);
         state.limiter.set_live_peers(live, known, now);
--- a/crates/clementinepond_entry/src/node/pick.rs
+++ b/crates/clementinepond_entry/src/node/pick.rs
@@ -9,7 +9,7 @@
 use clementinepond_dispatch::health::EndpointOutcome;
 use clementinepond_dispatch::load::{EndpointLoad, NameHash};
 use clementinepond_dispatch::peer::{AdapterLocation, SentRun};
-use clementinepond_dispatch::place::adapter_hash;
+use clementinepond_dispatch::placement::adapter_hash;
 use clementinepond_dispatch::select::{
     AdapterReadiness, EngineCandidate, EngineRequest, EngineVerdict, ServiceCandidate,
     ServiceVerdict, choose_engine, choose_service_endpoint, rendezvous_weight,
--- a/crates/clementinepond_entry/src/node/placement.rs
+++ b/crates/clementinepond_entry/src/node/placement.rs
@@ -8,7 +8,7 @@
 use clementinepond_dispatch::peer::{
     AdapterLocation, PeerMessage, PlacementUpdate, SMALL_FLEET_MAX_VMS,
 };
-use clementinepond_dispatch::place::adapter_hash;
+use clementinepond_dispatch::placement::adapter_hash;
 use clementinepond_types::{AdapterId, EndpointId, LocalTime, ModelId, TimeSpan, VmId};
 use fnv::{FnvHashMap, FnvHashSet};
 
--- a/crates/clementinepond_entry/src/placement_lease/lease_task.rs
+++ b/crates/clementinepond_entry/src/placement_lease/lease_task.rs
@@ -56,10 +56,10 @@
                 state.peers.peer_counts(now).1 as u64,
             )
         };
-        let head_start = first_delay.fraction(peers.max(STAGGER_FLEET_VMS), STAGGER_FLEET_VMS);
+        let takeover_delay = first_delay.fraction(peers.max(STAGGER_FLEET_VMS), STAGGER_FLEET_VMS);
         let tick = LeaseEvent::Tick {
             holder_live,
-            head_start,
+            takeover_delay,
         };
         let effects = reduce(&node, tick, now);
         perform(&node, &mut client, effects).await;
@@ -101,10 +101,10 @@
             LeaseEffect::Write { expected, record } => write(node, client, expected, &record).await,
             LeaseEffect::Acquired {
                 fence,
-                order_from,
+                orders_allowed_from,
                 is_resumed,
             } => {
-                let wait = BootClock::now().until(order_from);
+                let wait = BootClock::now().until(orders_allowed_from);
                 log::info!("event=duty_acquired fence={fence} orders_in={wait}");
                 node.start_orders(is_resumed, BootClock::now());
                 continue;
--- a/crates/clementinepond_entry/src/placement_lease/order_task.rs
+++ b/crates/clementinepond_entry/src/placement_lease/order_task.rs
@@ -8,11 +8,11 @@
 use clementinepond_dispatch::peer::{
     AdapterLocation, PeerMessage, PlacementUpdate, SMALL_FLEET_MAX_VMS,
 };
-use clementinepond_dispatch::place::{
+use clementinepond_dispatch::placement::{
     OrderReply, PlacementPlanner, PlannerEffect, PlannerInput, SentOrder,
 };
 use clementinepond_platform::{
-    STATUS_PATH, order_body, order_path, read_order_reply, read_status, write_instance,
+    STATUS_PATH, order_body, order_path, read_order_reply, read_report, write_expected_instance,
 };
 use clementinepond_types::{EndpointId, LocalTime, TimeSpan};
 use fnv::{FnvHashMap, FnvHashSet};
@@ -127,14 +127,14 @@
                 read_endpoint_status(&node, &clients, endpoint, address).await;
             });
         }
-        PlannerEffect::AdapterReady { vm, place } => {
+        PlannerEffect::AdapterReady { vm, location } => {
             if vm == node.settings().vm {
-                node.apply_adapter_ready(place);
+                node.apply_adapter_ready(location);
                 return;
             }
             let address = node.state.borrow().peers.address(&vm);
             if let Some(address) = address {
-                node.send_to(PeerMessage::AdapterReady(place), address);
+                node.send_to(PeerMessage::AdapterReady(location), address);
             }
         }
         PlannerEffect::MoveStarted {
@@ -222,7 +222,7 @@
 /// Sends an order if this VM still holds the lease, and records the reply.
 async fn send(node: &Rc<EntryNode>, clients: &OrderClients, sent: SentOrder) {
     let mut headers = HeaderMap::new();
-    write_instance(&mut headers, &sent.endpoint);
+    write_expected_instance(&mut headers, &sent.endpoint);
     let body = order_body(&sent, &node.settings().vm);
     let mut client = take_client(clients, &sent.endpoint, sent.address);
     // The lease may have expired if the process was paused since the order was planned.
@@ -267,13 +267,13 @@
 ) {
     let requested_at = BootClock::now();
     let mut headers = HeaderMap::new();
-    write_instance(&mut headers, &endpoint);
+    write_expected_instance(&mut headers, &endpoint);
     let mut client = take_client(clients, &endpoint, address);
     let call = client.call(Method::GET, STATUS_PATH, headers, Vec::new(), ORDER_TIMEOUT);
     let answer = call.await;
     let now = BootClock::now();
     match answer {
-        Ok(answer) if answer.status == StatusCode::OK => match read_status(&answer.body) {
+        Ok(answer) if answer.status == StatusCode::OK => match read_report(&answer.body) {
             Ok(status) => with_planner(node, &endpoint, |planner| {
                 planner.record_status(&endpoint, &status, requested_at, now);
             }),
