--- a/crates/clementinepond_measure/src/experiment/limits/audit.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/audit.rs
@@ -20,7 +20,7 @@
             let is_over = rate > i128::from(most_rate) * MILLION || capacity > most_burst;
             self.outcome.audit_breaches += u64::from(is_over);
         }
-        let at = self.now + self.plan.audit;
+        let at = self.now + self.plan.audit_interval;
         self.push(at, FleetEvent::Audit);
     }
 
@@ -30,7 +30,7 @@
         let mut rate = 0;
         let mut capacity = 0;
         for vm in self.vms.iter_mut().filter(|vm| !vm.is_stopped) {
-            let local = vm.local(self.now);
+            let local = vm.local_time(self.now);
             let pace = MILLION + i128::from(vm.clock_ppm);
             let VmPolicy::Current(state) = &mut vm.policy else {
                 continue;
--- a/crates/clementinepond_measure/src/experiment/limits/central.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/central.rs
@@ -23,8 +23,8 @@
     }
 
     fn refill(&mut self, now: u64) {
-        let span = TimeSpan::from_micros(now.saturating_sub(self.refilled_at));
-        self.level = (self.level + self.limit.rate.accrue(span)).min(self.limit.burst);
+        let duration = TimeSpan::from_micros(now.saturating_sub(self.refilled_at));
+        self.level = (self.level + self.limit.rate.accrue(duration)).min(self.limit.burst);
         self.refilled_at = self.refilled_at.max(now);
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Returns whether a cost would be admitted.
-    pub(super) fn has(&mut self, cost: TokenCount, now: u64) -> bool {
+    pub(super) fn can_admit(&mut self, cost: TokenCount, now: u64) -> bool {
         self.refill(now);
         self.level >= cost
     }
@@ -49,7 +49,7 @@
 
     /// Admits a cost if there is enough.
     pub(super) fn admit(&mut self, cost: TokenCount, now: u64) -> bool {
-        let has = self.has(cost, now);
+        let has = self.can_admit(cost, now);
         if has {
             self.charge(cost, now);
         }
@@ -57,12 +57,12 @@
     }
 
     /// Splits off `parts` of `whole`.
-    pub(super) fn split(&mut self, parts: u64, whole: u64, now: u64) -> Self {
+    pub(super) fn split(&mut self, parts: u64, total: u64, now: u64) -> Self {
         self.refill(now);
         let mut other = self.clone();
-        other.limit = scale(self.limit, parts, whole);
-        other.level = self.level.fraction(parts, whole);
-        self.limit = scale(self.limit, whole - parts, whole);
+        other.limit = scale(self.limit, parts, total);
+        other.level = self.level.fraction(parts, total);
+        self.limit = scale(self.limit, total - parts, total);
         self.level = self.level.saturating_sub(other.level);
         other
     }
@@ -76,9 +76,9 @@
     }
 }
 
-fn scale(limit: AccountLimit, parts: u64, whole: u64) -> AccountLimit {
+fn scale(limit: AccountLimit, parts: u64, total: u64) -> AccountLimit {
     AccountLimit {
-        rate: limit.rate.fraction(parts, whole),
-        burst: limit.burst.fraction(parts, whole),
+        rate: limit.rate.fraction(parts, total),
+        burst: limit.burst.fraction(parts, total),
     }
 }
--- a/crates/clementinepond_measure/src/experiment/limits/client.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/client.rs
@@ -1,21 +1,21 @@
 //! Clients and engines of a simulated fleet.
 
 use super::fleet::{FleetEvent, FleetSimulation};
-use super::host::PendingAsk;
+use super::host::PendingAdmission;
 use super::plan::{BalancePlan, ReservePlan, SECOND};
-use super::stream::{MEAN_COST, RequestPlan, StreamPart, TokenStream};
+use super::stream::{MEAN_REQUEST_TOKENS, RequestPlan, StreamPart, TokenStream};
 use clementinepond_decide::limit::{AdmissionRequest, LimitEvent, TicketId};
 use clementinepond_types::{LocalTime, PriorityClass, TimeSpan, TokenCount};
 use rand::RngExt;
 
 /// Interval between two reports of generated tokens, in microseconds.
-const GENERATE_INTERVAL: u64 = 240_000;
+const GENERATION_INTERVAL_US: u64 = 240_000;
 /// Tokens generated in that interval.
-const GENERATE_STEP: u64 = 8;
+const TOKENS_PER_INTERVAL: u64 = 8;
 /// Mean length of a burst of calls, in microseconds.
-const BURST_LENGTH: f64 = 2e6;
+const MEAN_BURST_US: f64 = 2e6;
 /// Most time between an admission and its dispatch on a healthy VM.
-const DISPATCH_DELAY: u64 = 300;
+const DISPATCH_DELAY_LIMIT_US: u64 = 300;
 /// Priority of new requests.
 const NEW_PRIORITY: u8 = 100;
 /// Priority of further parts of running streams.
@@ -36,27 +36,27 @@
         };
         let side = self.side(account, self.vms[vm].centre);
         let cost = TokenCount::new(request.cost());
-        let is_ideal = self.ideal[account][side].admit(cost, self.now);
+        let is_ideally_admitted = self.ideal[account][side].admit(cost, self.now);
         if self.now >= self.plan.warm_up {
             let counts = &mut self.outcome.accounts[account];
-            counts.asked += 1;
-            counts.ideal_refused += u64::from(!is_ideal);
+            counts.requests += 1;
+            counts.ideal_refused += u64::from(!is_ideally_admitted);
         }
         let output = match self.plan.reserve {
-            ReservePlan::Whole => request.limit,
+            ReservePlan::UpperBound => request.limit,
             ReservePlan::Parts(size) => size.min(request.limit),
         };
-        let pending = PendingAsk {
+        let pending = PendingAdmission {
             request,
             vm,
-            asked_at: self.now,
+            requested_at: self.now,
             stream: None,
             prompt: request.prompt,
             output,
             is_admitted: false,
-            is_ideal,
+            is_ideally_admitted,
         };
-        self.ask(pending, NEW_PRIORITY);
+        self.request_admission(pending, NEW_PRIORITY);
     }
 
     fn schedule_arrival(&mut self, account: usize) {
@@ -64,9 +64,9 @@
         let (ends, is_on) = self.bursts[account];
         if self.now >= ends {
             let mean = if is_on {
-                BURST_LENGTH * (plan.peak as f64 / 1e3 - 1.0).max(0.0)
+                MEAN_BURST_US * (plan.peak as f64 / 1e3 - 1.0).max(0.0)
             } else {
-                BURST_LENGTH
+                MEAN_BURST_US
             };
             let length = self.draw_exponential(account, mean);
             self.bursts[account] = (self.now + length, !is_on);
@@ -75,7 +75,7 @@
         let rate =
             (plan.limit.rate.micro() / 1_000_000) as f64 * plan.load as f64 * plan.peak as f64
                 / 1e6;
-        let gap = self.draw_exponential(account, 1e6 * MEAN_COST as f64 / rate.max(1e-3));
+        let gap = self.draw_exponential(account, 1e6 * MEAN_REQUEST_TOKENS as f64 / rate.max(1e-3));
         let at = if is_on {
             self.now + gap.max(1)
         } else {
@@ -85,18 +85,19 @@
     }
 
     fn balance(&mut self, account: usize) -> Option<usize> {
-        let favourites = &self.favourites[account];
+        let preferred_vms = &self.preferred_vms[account];
         let rng = &mut self.traffic[account];
-        let is_favoured = rng.random_range(0..100) < 80 && self.plan.balance == BalancePlan::Skewed;
+        let uses_preferred =
+            rng.random_range(0..100) < 80 && self.plan.balance == BalancePlan::Skewed;
         let all = self.vms.len();
-        let first = if is_favoured && !favourites.is_empty() {
-            favourites[rng.random_range(0..favourites.len())]
+        let first = if uses_preferred && !preferred_vms.is_empty() {
+            preferred_vms[rng.random_range(0..preferred_vms.len())]
         } else {
             rng.random_range(0..all)
         };
         (0..all)
             .map(|step| (first + step) % all)
-            .find(|vm| self.vms[*vm].takes_calls())
+            .find(|vm| self.vms[*vm].accepts_requests())
     }
 
     fn side(&self, account: usize, centre: usize) -> usize {
@@ -104,10 +105,10 @@
         usize::from(is_cut && self.ideal[account].len() > 1)
     }
 
-    fn ask(&mut self, pending: PendingAsk, priority: u8) {
+    fn request_admission(&mut self, pending: PendingAdmission, priority: u8) {
         let ticket = self.next_ticket();
         let vm = pending.vm;
-        let local = self.vms[vm].local(self.now);
+        let local = self.vms[vm].local_time(self.now);
         let event = LimitEvent::Request(AdmissionRequest {
             ticket,
             account: self.account_ids[pending.request.account].clone(),
@@ -118,24 +119,24 @@
         });
         self.pending.insert(ticket, pending);
         let incarnation = self.vms[vm].incarnation;
-        self.tell(vm, incarnation, event);
+        self.deliver(vm, incarnation, event);
     }
 
-    pub(super) fn admitted(&mut self, vm: usize, ticket: TicketId, deadline: LocalTime) {
+    pub(super) fn handle_admitted(&mut self, vm: usize, ticket: TicketId, deadline: LocalTime) {
         let Some(pending) = self.pending.get_mut(&ticket) else {
             return;
         };
         pending.is_admitted = true;
-        let wait = self.now - pending.asked_at;
-        if pending.stream.is_none() && pending.asked_at >= self.plan.warm_up {
+        let wait = self.now - pending.requested_at;
+        if pending.stream.is_none() && pending.requested_at >= self.plan.warm_up {
             self.outcome.waits.push(wait);
         }
         let request = pending.request;
         if pending.stream.is_none() {
             self.shadow[request.account].charge(TokenCount::new(request.cost()), self.now);
         }
-        pending.asked_at = self.now;
-        let delay = self.rng.random_range(0..DISPATCH_DELAY);
+        pending.requested_at = self.now;
+        let delay = self.rng.random_range(0..DISPATCH_DELAY_LIMIT_US);
         let incarnation = self.vms[vm].incarnation;
         let at = self.now + delay;
         let event = FleetEvent::Dispatch {
@@ -147,26 +148,26 @@
         self.push(at, event);
     }
 
-    pub(super) fn refused(&mut self, ticket: TicketId, retry_after: Option<TimeSpan>) {
+    pub(super) fn handle_refused(&mut self, ticket: TicketId, retry_after: Option<TimeSpan>) {
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
         if let Some(stream) = pending.stream {
             if let Some(running) = self.streams.get_mut(&stream) {
-                running.is_asking = false;
+                running.is_part_requested = false;
             }
             let wait = retry_after.map_or(SECOND, TimeSpan::micros).min(SECOND);
-            return self.push(self.now + wait, FleetEvent::AskPart { stream });
+            return self.push(self.now + wait, FleetEvent::RequestPart { stream });
         }
-        if pending.asked_at < self.plan.warm_up {
+        if pending.requested_at < self.plan.warm_up {
             return;
         }
         let account = pending.request.account;
         let cost = TokenCount::new(pending.request.cost());
-        let is_inside = self.shadow[account].has(cost, self.now);
+        let is_inside = self.shadow[account].can_admit(cost, self.now);
         let counts = &mut self.outcome.accounts[account];
         counts.refused += 1;
-        counts.wrongful += u64::from(pending.is_ideal);
+        counts.wrongful += u64::from(pending.is_ideally_admitted);
         counts.wrongful_shadow += u64::from(is_inside);
     }
 
@@ -192,19 +193,19 @@
             };
             return self.push(at, event);
         }
-        let is_late = host.local(self.now) >= deadline;
+        let is_late = host.local_time(self.now) >= deadline;
         let Some(pending) = self.pending.remove(&ticket) else {
             return;
         };
         if is_late {
-            self.outcome.lapsed += 1;
-            return self.tell(vm, incarnation, LimitEvent::Cancel { ticket });
+            self.outcome.expired += 1;
+            return self.deliver(vm, incarnation, LimitEvent::Cancel { ticket });
         }
-        self.tell(vm, incarnation, LimitEvent::Started { ticket });
+        self.deliver(vm, incarnation, LimitEvent::Started { ticket });
         self.run_part(ticket, pending, incarnation);
     }
 
-    fn run_part(&mut self, ticket: TicketId, pending: PendingAsk, incarnation: u32) {
+    fn run_part(&mut self, ticket: TicketId, pending: PendingAdmission, incarnation: u32) {
         let request = pending.request;
         let part = StreamPart {
             ticket,
@@ -218,21 +219,21 @@
             incarnation,
             parts: std::collections::VecDeque::new(),
             generated: 0,
-            in_part: 0,
-            is_asking: false,
-            stalled: 0,
+            generated_in_part: 0,
+            is_part_requested: false,
+            stall_time: 0,
         });
         let covered = stream.generated + stream.reserved();
         let used = pending.output.min(request.output.saturating_sub(covered));
         stream.parts.push_back(part);
-        stream.is_asking = false;
+        stream.is_part_requested = false;
         let spent = TokenCount::new(pending.prompt + used).micro();
         let counts = &mut self.outcome.accounts[request.account];
-        counts.admitted.note(pending.asked_at, spent);
+        counts.admitted.record(pending.requested_at, spent);
         if pending.stream.is_none() {
             let prompt = TokenCount::new(pending.prompt).micro();
-            counts.generated.note(self.now, prompt);
-            let at = self.now + GENERATE_INTERVAL;
+            counts.generated.record(self.now, prompt);
+            let at = self.now + GENERATION_INTERVAL_US;
             self.push(at, FleetEvent::Generate { stream: id });
         }
     }
@@ -248,79 +249,82 @@
             return;
         };
         let left = stream.request.output - stream.generated;
-        let step = GENERATE_STEP.min(left).min(stream.reserved());
+        let step = TOKENS_PER_INTERVAL.min(left).min(stream.reserved());
         if step == 0 {
-            stream.stalled += GENERATE_INTERVAL;
+            stream.stall_time += GENERATION_INTERVAL_US;
         }
         let (vm, incarnation, account) = (stream.vm, stream.incarnation, stream.request.account);
         stream.generated += step;
-        stream.in_part += step;
+        stream.generated_in_part += step;
         let mut events = Vec::new();
         while let Some(part) = stream.parts.front().copied() {
-            if stream.in_part < part.output {
+            if stream.generated_in_part < part.output {
                 break;
             }
-            stream.in_part -= part.output;
+            stream.generated_in_part -= part.output;
             stream.parts.pop_front();
             events.push(settle(&part, part.output));
         }
         if let Some(part) = stream.parts.front() {
             events.push(LimitEvent::Progress {
                 ticket: part.ticket,
-                generated: TokenCount::new(stream.in_part),
+                generated: TokenCount::new(stream.generated_in_part),
             });
         }
         let is_done = stream.generated == stream.request.output;
         if is_done {
-            let mut used = stream.in_part;
+            let mut used = stream.generated_in_part;
             for part in &stream.parts {
                 events.push(settle(part, used));
                 used = 0;
             }
         }
         let is_part_due = !is_done && stream.next_part(self.plan.reserve).is_some();
-        let stalled = stream.stalled;
+        let stall_time = stream.stall_time;
         let micro = TokenCount::new(step).micro();
-        self.outcome.accounts[account].generated.note(now, micro);
+        self.outcome.accounts[account].generated.record(now, micro);
         if is_done {
             self.streams.remove(&id);
-            self.outcome.stalls.push(stalled);
+            self.outcome.stalls.push(stall_time);
         } else {
             let is_gone = self.vms[vm].incarnation != incarnation || self.vms[vm].is_stopped;
             if is_gone && step == 0 {
                 self.streams.remove(&id);
                 return;
             }
-            self.push(now + GENERATE_INTERVAL, FleetEvent::Generate { stream: id });
+            self.push(
+                now + GENERATION_INTERVAL_US,
+                FleetEvent::Generate { stream: id },
+            );
         }
         for event in events {
-            self.tell(vm, incarnation, event);
+            self.deliver(vm, incarnation, event);
         }
         if is_part_due {
-            self.ask_part(id);
+            self.request_part(id);
         }
     }
 
-    pub(super) fn ask_part(&mut self, id: u64) {
+    pub(super) fn request_part(&mut self, id: u64) {
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
         let Some(size) = stream.next_part(self.plan.reserve) else {
             return;
         };
-        stream.is_asking = true;
-        let pending = PendingAsk {
+        stream.is_part_requested = true;
+        let pending = PendingAdmission {
             request: stream.request,
             vm: stream.vm,
-            asked_at: self.now,
+            requested_at: self.now,
             stream: Some(id),
             prompt: 0,
             output: size,
             is_admitted: false,
-            is_ideal: true,
+            is_ideally_admitted: true,
         };
         if self.vms[stream.vm].incarnation == stream.incarnation {
-            self.ask(pending, PART_PRIORITY);
+            self.request_admission(pending, PART_PRIORITY);
         }
     }
 }
--- a/crates/clementinepond_measure/src/experiment/limits/fault.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/fault.rs
@@ -7,29 +7,29 @@
 use clementinepond_decide::limit::{AccountLimit, LimitEvent};
 
 /// Delay of the first news to a VM that starts, in microseconds.
-const START_DELAY: u64 = 200_000;
+const RESTART_UPDATE_DELAY_US: u64 = 200_000;
 /// Time between a VM's leave and its release, in microseconds.
-const RELEASE_DELAY: u64 = 1_000_000;
+const RELEASE_DELAY_US: u64 = 1_000_000;
 /// Addition to the hold-off before the parts of a stopped VM move.
-const HOLD_OFF_MARGIN: u64 = 2_000_000;
+const HOLD_OFF_MARGIN_US: u64 = 2_000_000;
 
 impl FleetSimulation {
-    pub(super) fn strike(&mut self, kind: FaultKind) {
+    pub(super) fn inject_fault(&mut self, kind: FaultKind) {
         match kind {
-            FaultKind::Pause { vm, span } => {
+            FaultKind::Pause { vm, duration } => {
                 let host = &mut self.vms[vm];
                 if host.paused_until <= self.now {
-                    host.paused_until = self.now + span;
+                    host.paused_until = self.now + duration;
                 }
             }
-            FaultKind::Isolate { vm, span } => {
+            FaultKind::Isolate { vm, duration } => {
                 let host = &mut self.vms[vm];
-                host.isolated_until = host.isolated_until.max(self.now + span);
+                host.isolated_until = host.isolated_until.max(self.now + duration);
             }
             FaultKind::Restart { vm } => self.restart(vm),
             FaultKind::Crash { vm } => self.crash(vm),
             FaultKind::Leave { vm } => self.leave(vm),
-            FaultKind::CutCentre { centre, span } => self.cut(centre, span),
+            FaultKind::CutCentre { centre, duration } => self.cut(centre, duration),
             FaultKind::ChangeLimit { account, scale } => self.change_limit(account, scale),
         }
     }
@@ -45,7 +45,7 @@
         host.policy = VmPolicy::new(kind, &self.plan.settings, host.name.clone(), incarnation);
         let view = self.roster.view(vm, self.vms[vm].centre);
         let table = self.table();
-        let at = self.now + START_DELAY;
+        let at = self.now + RESTART_UPDATE_DELAY_US;
         let events = [
             LimitEvent::AccountsChanged(table),
             LimitEvent::PartsChanged(view),
@@ -70,7 +70,7 @@
         self.vms[vm].is_stopped = true;
         let members = self.plan.centres[self.vms[vm].centre];
         let hold_off =
-            self.plan.settings.longest_grant_lifetime(members).micros() + HOLD_OFF_MARGIN;
+            self.plan.settings.longest_grant_lifetime(members).micros() + HOLD_OFF_MARGIN_US;
         self.push(self.now + hold_off, FleetEvent::MoveParts { vm });
     }
 
@@ -82,7 +82,7 @@
         self.roster.remove_member(vm);
         self.send_roster(false);
         let incarnation = self.vms[vm].incarnation;
-        let at = self.now + RELEASE_DELAY;
+        let at = self.now + RELEASE_DELAY_US;
         let event = LimitEvent::Release;
         self.push(
             at,
@@ -101,8 +101,8 @@
         self.send_roster(false);
     }
 
-    fn cut(&mut self, centre: usize, span: u64) {
-        let ends = self.now + span;
+    fn cut(&mut self, centre: usize, duration: u64) {
+        let ends = self.now + duration;
         self.cut_until[centre] = self.cut_until[centre].max(ends);
         let share = self.roster.share(centre);
         for sides in &mut self.ideal {
--- a/crates/clementinepond_measure/src/experiment/limits/fleet.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet in virtual time: many VMs, a network, clients and engines.
 
 use super::central::CentralBucket;
-use super::host::{FleetVm, PendingAsk};
+use super::host::{FleetVm, PendingAdmission};
 use super::ledger::LimitChange;
 use super::outcome::{AccountOutcome, FleetOutcome};
 use super::plan::{FaultKind, FleetPlan, SECOND};
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// Longest delay of a roster or configuration on its way to a VM.
-const NEWS_DELAY: u64 = 400_000;
+const UPDATE_DELAY_LIMIT_US: u64 = 400_000;
 
 /// Incarnation of the first process of each VM; large, as random ones are.
 const FIRST_INCARNATION: u32 = 0x9e37_79b9;
@@ -44,7 +44,7 @@
     Generate {
         stream: u64,
     },
-    AskPart {
+    RequestPart {
         stream: u64,
     },
     Fault(FaultKind),
@@ -72,12 +72,12 @@
     pub(super) ideal: Vec<Vec<CentralBucket>>,
     pub(super) shadow: Vec<CentralBucket>,
     pub(super) cut_until: Vec<u64>,
-    pub(super) pending: BTreeMap<TicketId, PendingAsk>,
+    pub(super) pending: BTreeMap<TicketId, PendingAdmission>,
     pub(super) streams: BTreeMap<u64, TokenStream>,
     pub(super) stream_count: u64,
     pub(super) traffic: Vec<ChaCha8Rng>,
     pub(super) bursts: Vec<(u64, bool)>,
-    pub(super) favourites: Vec<Vec<usize>>,
+    pub(super) preferred_vms: Vec<Vec<usize>>,
     next_ticket: u64,
     table_version: u64,
     pub(super) outcome: FleetOutcome,
@@ -129,8 +129,8 @@
             }
         }
         let count = plan.accounts.len();
-        let favourites = (0..count)
-            .map(|_| pick_some(vms.len().div_ceil(5), vms.len(), &mut rng))
+        let preferred_vms = (0..count)
+            .map(|_| sample_indexes(vms.len().div_ceil(5), vms.len(), &mut rng))
             .collect();
         let limit = |index: usize| plan.accounts[index].limit;
         Self {
@@ -158,11 +158,11 @@
             bursts: vec![(0, false); count],
             outcome: FleetOutcome {
                 accounts: (0..count).map(|_| AccountOutcome::default()).collect(),
-                measured: plan.length - plan.warm_up,
+                measured_time: plan.length - plan.warm_up,
                 vms: vms.len() as u64,
                 ..FleetOutcome::default()
             },
-            favourites,
+            preferred_vms,
             rng,
             now: 0,
             queue: BTreeMap::new(),
@@ -193,7 +193,7 @@
         self.send_roster(true);
         self.send_table(true);
         for vm in 0..self.vms.len() {
-            let at = self.rng.random_range(0..self.plan.tick);
+            let at = self.rng.random_range(0..self.plan.tick_interval);
             self.push(
                 at,
                 FleetEvent::Tick {
@@ -206,8 +206,8 @@
             let at = self.rng.random_range(0..SECOND);
             self.push(at, FleetEvent::Arrive { account });
         }
-        if self.plan.audit > 0 {
-            self.push(self.plan.audit, FleetEvent::Audit);
+        if self.plan.audit_interval > 0 {
+            self.push(self.plan.audit_interval, FleetEvent::Audit);
         }
         for fault in self.plan.faults.clone() {
             self.push(fault.at, FleetEvent::Fault(fault.kind));
@@ -220,7 +220,7 @@
         for vm in 0..self.vms.len() {
             let centre = self.vms[vm].centre;
             let view = self.roster.view(vm, centre);
-            self.send_news(vm, LimitEvent::PartsChanged(view), is_immediate);
+            self.send_update(vm, LimitEvent::PartsChanged(view), is_immediate);
         }
     }
 
@@ -229,7 +229,7 @@
         self.table_version += 1;
         let table = self.table();
         for vm in 0..self.vms.len() {
-            self.send_news(vm, LimitEvent::AccountsChanged(table.clone()), is_immediate);
+            self.send_update(vm, LimitEvent::AccountsChanged(table.clone()), is_immediate);
         }
     }
 
@@ -246,11 +246,11 @@
         }
     }
 
-    fn send_news(&mut self, vm: usize, event: LimitEvent, is_immediate: bool) {
+    fn send_update(&mut self, vm: usize, event: LimitEvent, is_immediate: bool) {
         let delay = if is_immediate {
             0
         } else {
-            self.rng.random_range(0..NEWS_DELAY)
+            self.rng.random_range(0..UPDATE_DELAY_LIMIT_US)
         };
         let incarnation = self.vms[vm].incarnation;
         let at = self.now + delay;
@@ -271,7 +271,7 @@
                 vm,
                 incarnation,
                 event,
-            } => self.tell(vm, incarnation, event),
+            } => self.deliver(vm, incarnation, event),
             FleetEvent::Tick { vm, incarnation } => self.tick(vm, incarnation),
             FleetEvent::Dispatch {
                 vm,
@@ -282,8 +282,8 @@
                 self.dispatch(vm, incarnation, ticket, deadline);
             }
             FleetEvent::Generate { stream } => self.generate(stream),
-            FleetEvent::AskPart { stream } => self.ask_part(stream),
-            FleetEvent::Fault(kind) => self.strike(kind),
+            FleetEvent::RequestPart { stream } => self.request_part(stream),
+            FleetEvent::Fault(kind) => self.inject_fault(kind),
             FleetEvent::Heal { centre } => self.heal(centre),
             FleetEvent::MoveParts { vm } => self.move_parts(vm),
             FleetEvent::Audit => self.audit(),
@@ -294,13 +294,13 @@
         if self.vms[vm].incarnation != incarnation || self.vms[vm].is_stopped {
             return;
         }
-        let next = self.now.max(self.vms[vm].paused_until) + self.plan.tick;
+        let next = self.now.max(self.vms[vm].paused_until) + self.plan.tick_interval;
         self.push(next, FleetEvent::Tick { vm, incarnation });
-        self.tell(vm, incarnation, LimitEvent::Tick);
+        self.deliver(vm, incarnation, LimitEvent::Tick);
     }
 
     /// Lets a VM handle an event, after its pause if it is paused.
-    pub(super) fn tell(&mut self, vm: usize, incarnation: u32, event: LimitEvent) {
+    pub(super) fn deliver(&mut self, vm: usize, incarnation: u32, event: LimitEvent) {
         let host = &mut self.vms[vm];
         if host.incarnation != incarnation || host.is_stopped {
             return;
@@ -316,21 +316,23 @@
                 },
             );
         }
-        let local = host.local(self.now);
+        let local = host.local_time(self.now);
         for effect in host.policy.handle(event, local) {
-            self.carry_out(vm, effect);
+            self.apply_effect(vm, effect);
         }
     }
 
-    fn carry_out(&mut self, vm: usize, effect: LimitEffect) {
+    fn apply_effect(&mut self, vm: usize, effect: LimitEffect) {
         match effect {
-            LimitEffect::Admitted { ticket, deadline } => self.admitted(vm, ticket, deadline),
+            LimitEffect::Admitted { ticket, deadline } => {
+                self.handle_admitted(vm, ticket, deadline)
+            }
             LimitEffect::Refused {
                 ticket,
                 retry_after,
                 ..
             } => {
-                self.refused(ticket, retry_after);
+                self.handle_refused(ticket, retry_after);
             }
             LimitEffect::Send { to, message } => self.transmit(vm, &to, message),
             LimitEffect::Released => self.push(self.now, FleetEvent::MoveParts { vm }),
@@ -386,7 +388,7 @@
     }
 }
 
-fn pick_some(count: usize, whole: usize, rng: &mut ChaCha8Rng) -> Vec<usize> {
+fn sample_indexes(count: usize, whole: usize, rng: &mut ChaCha8Rng) -> Vec<usize> {
     let mut all: Vec<usize> = (0..whole).collect();
     for index in 0..count.min(whole) {
         let other = rng.random_range(index..whole);
--- a/crates/clementinepond_measure/src/experiment/limits/host.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/host.rs
@@ -20,26 +20,26 @@
 }
 
 impl FleetVm {
-    pub(super) fn local(&self, now: u64) -> LocalTime {
+    pub(super) fn local_time(&self, now: u64) -> LocalTime {
         let drift = i128::from(now) * i128::from(self.clock_ppm) / 1_000_000;
         let local = i128::from(now + self.clock_offset) + drift;
         LocalTime::from_micros(u64::try_from(local).unwrap_or(0))
     }
 
-    pub(super) fn takes_calls(&self) -> bool {
+    pub(super) fn accepts_requests(&self) -> bool {
         !self.is_stopped && !self.is_leaving
     }
 }
 
 /// Request that waits for its admission.
 #[derive(Debug)]
-pub(super) struct PendingAsk {
+pub(super) struct PendingAdmission {
     pub(super) request: RequestPlan,
     pub(super) vm: usize,
-    pub(super) asked_at: u64,
+    pub(super) requested_at: u64,
     pub(super) stream: Option<u64>,
     pub(super) prompt: u64,
     pub(super) output: u64,
     pub(super) is_admitted: bool,
-    pub(super) is_ideal: bool,
+    pub(super) is_ideally_admitted: bool,
 }
--- a/crates/clementinepond_measure/src/experiment/limits/ledger.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/ledger.rs
@@ -6,7 +6,7 @@
 use clementinepond_decide::limit::AccountLimit;
 
 /// Micro-tokens times microseconds a second, the unit of the leaky bucket.
-const SCALE: i128 = 1_000_000;
+const MICROS_PER_SECOND: i128 = 1_000_000;
 
 /// Tokens spent at one moment.
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
 
 impl SpendLedger {
     /// Notes tokens spent at a moment.
-    pub fn note(&mut self, at: u64, micro: u64) {
+    pub fn record(&mut self, at: u64, micro: u64) {
         self.spends.push(Spend { at, micro });
     }
 
@@ -61,17 +61,17 @@
     }
 
     fn excess_from(&self, start: u64, changes: &[LimitChange], settle_time: u64) -> u64 {
-        let mut mark: i128 = 0;
+        let mut level: i128 = 0;
         let mut last = start;
         let mut worst: i128 = 0;
         for spend in self.spends.iter().filter(|spend| spend.at >= start) {
             let (drained, burst) = envelope(changes, last, spend.at, settle_time);
-            mark = (mark - drained).max(0) + i128::from(spend.micro) * SCALE;
+            level = (level - drained).max(0) + i128::from(spend.micro) * MICROS_PER_SECOND;
             last = spend.at;
-            worst = worst.max(mark - i128::from(burst) * SCALE);
+            worst = worst.max(level - i128::from(burst) * MICROS_PER_SECOND);
         }
-        let whole = (worst.max(0) + SCALE - 1) / SCALE;
-        u64::try_from(whole).unwrap_or(u64::MAX)
+        let rounded = (worst.max(0) + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND;
+        u64::try_from(rounded).unwrap_or(u64::MAX)
     }
 }
 
@@ -94,16 +94,16 @@
 
 /// Returns the largest drain between two moments and the largest burst so far.
 fn envelope(changes: &[LimitChange], from: u64, to: u64, settle_time: u64) -> (i128, u64) {
-    let mut moments: Vec<u64> = changes
+    let mut times: Vec<u64> = changes
         .iter()
         .flat_map(|change| [change.at, change.at + settle_time])
-        .filter(|moment| *moment > from && *moment < to)
+        .filter(|time| *time > from && *time < to)
         .collect();
-    moments.sort_unstable();
-    moments.push(to);
+    times.sort_unstable();
+    times.push(to);
     let mut drained = 0;
     let mut start = from;
-    for end in moments {
+    for end in times {
         drained += i128::from(rate_at(changes, start, settle_time)) * i128::from(end - start);
         start = end;
     }
--- a/crates/clementinepond_measure/src/experiment/limits/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/mod.rs
@@ -31,5 +31,6 @@
 pub use report::run;
 pub use scale::{run_fleet, run_scale};
 pub use scenario::{
-    chaos, cut_off, five_fold, grow, rate_change, skewed, small_accounts, today_accounts,
+    chaos, cut_off, first_account_load, mixed_accounts, rate_change, scaled_fleet, skewed,
+    small_accounts,
 };
--- a/crates/clementinepond_measure/src/experiment/limits/network.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/network.rs
@@ -15,13 +15,13 @@
     /// Messages lost, in thousandths.
     pub lost: u32,
     /// Messages delivered twice, in thousandths.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Messages that are late by up to ten seconds, in thousandths.
     pub late: u32,
 }
 
 /// Longest delay of a late message, in microseconds.
-const LATE_LIMIT: u64 = 10_000_000;
+const LATE_DELAY_LIMIT_US: u64 = 10_000_000;
 
 impl NetworkPlan {
     /// A healthy network of today's size.
@@ -32,7 +32,7 @@
             far_latency: 1_500,
             jitter: 200,
             lost: 0,
-            doubled: 0,
+            duplicated: 0,
             late: 0,
         }
     }
@@ -45,7 +45,7 @@
             far_latency: 1_500,
             jitter: 30_000,
             lost: 50,
-            doubled: 50,
+            duplicated: 50,
             late: 20,
         }
     }
@@ -56,7 +56,7 @@
         if rng.random_range(0..1_000) >= self.lost {
             copies.push(self.delay(is_near, rng));
         }
-        if rng.random_range(0..1_000) < self.doubled {
+        if rng.random_range(0..1_000) < self.duplicated {
             copies.push(self.delay(is_near, rng));
         }
         copies
@@ -70,7 +70,7 @@
         };
         let mut delay = base + rng.random_range(0..=self.jitter);
         if rng.random_range(0..1_000) < self.late {
-            delay += rng.random_range(0..LATE_LIMIT);
+            delay += rng.random_range(0..LATE_DELAY_LIMIT_US);
         }
         delay
     }
--- a/crates/clementinepond_measure/src/experiment/limits/outcome.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/outcome.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default)]
 pub struct AccountOutcome {
     /// Requests after the warm-up.
-    pub asked: u64,
+    pub requests: u64,
     /// Requests refused.
     pub refused: u64,
     /// Requests refused that the ideal bucket admits.
@@ -39,11 +39,11 @@
     /// Times that streams stood still for lack of tokens, in microseconds.
     pub stalls: Vec<u64>,
     /// Admissions that lapsed before their dispatch.
-    pub lapsed: u64,
+    pub expired: u64,
     /// Audits that found more rights than an account has.
     pub audit_breaches: u64,
     /// Length of the measured time, in microseconds.
-    pub measured: u64,
+    pub measured_time: u64,
     /// VMs at the start.
     pub vms: u64,
 }
@@ -56,19 +56,19 @@
     /// Returns the share of requests refused although inside the rate.
     #[must_use]
     pub fn wrongful_share(&self) -> f64 {
-        share(self.sum(|a| a.wrongful), self.sum(|a| a.asked))
+        share(self.sum(|a| a.wrongful), self.sum(|a| a.requests))
     }
 
     /// Returns the same share, judged by the tokens actually run.
     #[must_use]
-    pub fn shadow_share(&self) -> f64 {
-        share(self.sum(|a| a.wrongful_shadow), self.sum(|a| a.asked))
+    pub fn wrongful_share_by_run(&self) -> f64 {
+        share(self.sum(|a| a.wrongful_shadow), self.sum(|a| a.requests))
     }
 
     /// Returns the share of requests refused.
     #[must_use]
     pub fn refused_share(&self) -> f64 {
-        share(self.sum(|a| a.refused), self.sum(|a| a.asked))
+        share(self.sum(|a| a.refused), self.sum(|a| a.requests))
     }
 
     /// Returns the share of requests served for the worst-served account,
@@ -77,8 +77,8 @@
     pub fn worst_account(&self) -> f64 {
         self.accounts
             .iter()
-            .filter(|account| account.asked > account.ideal_refused)
-            .map(|account| 1.0 - share(account.wrongful, account.asked - account.ideal_refused))
+            .filter(|account| account.requests > account.ideal_refused)
+            .map(|account| 1.0 - share(account.wrongful, account.requests - account.ideal_refused))
             .fold(1.0, f64::min)
     }
 
@@ -98,7 +98,7 @@
     /// Returns bytes a second and VM.
     #[must_use]
     pub fn bytes_per_vm(&self) -> f64 {
-        let seconds = self.measured as f64 / 1e6;
+        let seconds = self.measured_time as f64 / 1e6;
         self.bytes as f64 / seconds.max(1e-6) / self.vms.max(1) as f64
     }
 
--- a/crates/clementinepond_measure/src/experiment/limits/plan.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/plan.rs
@@ -6,7 +6,7 @@
 use clementinepond_types::{TokenCount, TokenRate};
 
 /// Tokens that a running stream reserves at a time.
-const PART_SIZE: u64 = 128;
+const PART_TOKENS: u64 = 128;
 /// One second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReservePlan {
     /// The upper bound at admission.
-    Whole,
+    UpperBound,
     /// Parts of this many tokens, ahead of need.
     Parts(u64),
 }
@@ -62,7 +62,7 @@
         /// The VM.
         vm: usize,
         /// Length, in microseconds.
-        span: u64,
+        duration: u64,
     },
     /// A VM loses its state and starts again under the same name.
     Restart {
@@ -84,14 +84,14 @@
         /// The VM.
         vm: usize,
         /// Length, in microseconds.
-        span: u64,
+        duration: u64,
     },
     /// A data centre exchanges no messages with others for a while.
     CutCentre {
         /// The data centre.
         centre: usize,
         /// Length, in microseconds.
-        span: u64,
+        duration: u64,
     },
     /// The limit of an account changes, in thousandths of the present one.
     ChangeLimit {
@@ -139,11 +139,11 @@
     /// Faults.
     pub faults: Vec<FaultPlan>,
     /// Interval between ticks of a VM, in microseconds.
-    pub tick: u64,
+    pub tick_interval: u64,
     /// Time after which a changed limit must be in force, in microseconds.
     pub settle_time: u64,
     /// Interval between audits of all rights, in microseconds; none when 0.
-    pub audit: u64,
+    pub audit_interval: u64,
     /// Whether the run ends at the first breach that an audit finds.
     pub stops_at_breach: bool,
 }
@@ -159,15 +159,15 @@
             warm_up: 20 * SECOND,
             length: 120 * SECOND,
             balance: BalancePlan::Skewed,
-            reserve: ReservePlan::Parts(PART_SIZE),
+            reserve: ReservePlan::Parts(PART_TOKENS),
             network: NetworkPlan::healthy(),
             drift_ppm: 100,
             policy: PolicyKind::Current,
             settings: LimitSettings::default(),
             faults: Vec::new(),
-            tick: 20_000,
+            tick_interval: 20_000,
             settle_time: 8 * SECOND,
-            audit: 0,
+            audit_interval: 0,
             stops_at_breach: false,
         }
     }
--- a/crates/clementinepond_measure/src/experiment/limits/policy.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/policy.rs
@@ -78,7 +78,7 @@
 impl StaticSplit {
     fn handle(&mut self, event: LimitEvent, now: LocalTime) -> Vec<LimitEffect> {
         match event {
-            LimitEvent::Request(ask) => return vec![self.ask(ask, now)],
+            LimitEvent::Request(request) => return vec![self.request_admission(request, now)],
             LimitEvent::Progress { ticket, generated } => self.spend(ticket, generated),
             LimitEvent::Started { ticket } => self.spend(ticket, TokenCount::ZERO),
             LimitEvent::Settle { ticket, used } => self.settle(ticket, used, now),
@@ -109,13 +109,13 @@
         bucket.refilled_at = now;
     }
 
-    fn ask(&mut self, ask: AdmissionRequest, now: LocalTime) -> LimitEffect {
-        self.refill(&ask.account, now);
-        let cost = ask.prompt + ask.output;
-        let bucket = self.buckets.entry(ask.account.clone()).or_default();
+    fn request_admission(&mut self, request: AdmissionRequest, now: LocalTime) -> LimitEffect {
+        self.refill(&request.account, now);
+        let cost = request.prompt + request.output;
+        let bucket = self.buckets.entry(request.account.clone()).or_default();
         if bucket.level < cost {
             return LimitEffect::Refused {
-                ticket: ask.ticket,
+                ticket: request.ticket,
                 reason: RefusalReason::OverRate,
                 retry_after: Some(TimeSpan::from_secs(1)),
             };
@@ -123,14 +123,14 @@
         bucket.level = bucket.level.saturating_sub(cost);
         bucket.held += cost;
         let ticket = SplitTicket {
-            account: ask.account,
+            account: request.account,
             cost,
             spent: TokenCount::ZERO,
-            prompt: ask.prompt,
+            prompt: request.prompt,
         };
-        self.tickets.insert(ask.ticket, ticket);
+        self.tickets.insert(request.ticket, ticket);
         LimitEffect::Admitted {
-            ticket: ask.ticket,
+            ticket: request.ticket,
             deadline: now + TimeSpan::from_secs(1),
         }
     }
--- a/crates/clementinepond_measure/src/experiment/limits/report.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/report.rs
@@ -8,9 +8,9 @@
 use crate::{ExperimentReport, MeasureTable, TargetResult};
 
 /// Data centres and VMs of today.
-const TODAY: [usize; 3] = [3, 3, 2];
+const SMALL_FLEET: [usize; 3] = [3, 3, 2];
 /// Data centres and VMs of a middle size.
-const MIDDLE: [usize; 4] = [16, 16, 16, 16];
+const MIDDLE_FLEET: [usize; 4] = [16, 16, 16, 16];
 /// Seeds of faulty runs in one experiment.
 const FAULTY_RUNS: u64 = 12;
 
@@ -21,7 +21,7 @@
     let mut writer = ReportWriter::default();
     writer.healthy(seed);
     writer.cut_off(seed);
-    writer.five_fold(seed);
+    writer.first_account_load(seed);
     writer.changes(seed);
     writer.faulty(seed);
     writer.finish(&mut report);
@@ -34,12 +34,12 @@
     over_limit_generated: u64,
     baseline: MeasureTable,
     current: MeasureTable,
-    whole: MeasureTable,
+    upper_bound: MeasureTable,
     targets: Vec<TargetResult>,
 }
 
 impl ReportWriter {
-    fn play(&mut self, plan: FleetPlan) -> FleetOutcome {
+    fn run_plan(&mut self, plan: FleetPlan) -> FleetOutcome {
         let is_current = plan.policy == PolicyKind::Current;
         let outcome = FleetSimulation::run(plan);
         if is_current {
@@ -50,69 +50,69 @@
     }
 
     /// Runs the static split, which reserves the upper bound, and ours.
-    fn both(&mut self, plan: &FleetPlan) -> (FleetOutcome, FleetOutcome) {
+    fn run_both(&mut self, plan: &FleetPlan) -> (FleetOutcome, FleetOutcome) {
         let mut baseline = plan.clone();
         baseline.policy = PolicyKind::StaticSplit;
-        baseline.reserve = ReservePlan::Whole;
-        (self.play(baseline), self.play(plan.clone()))
+        baseline.reserve = ReservePlan::UpperBound;
+        (self.run_plan(baseline), self.run_plan(plan.clone()))
     }
 
-    fn note(&mut self, name: &'static str, baseline: f64, current: f64) {
+    fn record(&mut self, name: &'static str, baseline: f64, current: f64) {
         self.baseline.insert(name, round(baseline));
         self.current.insert(name, round(current));
     }
 
     fn healthy(&mut self, seed: u64) {
-        let (baseline, current) = self.both(&scenario::skewed(seed, &TODAY));
+        let (baseline, current) = self.run_both(&scenario::skewed(seed, &SMALL_FLEET));
         let wrongful = current.wrongful_share();
-        self.note("wrongful_refusals", baseline.wrongful_share(), wrongful);
-        self.note(
+        self.record("wrongful_refusals", baseline.wrongful_share(), wrongful);
+        self.record(
             "wrongful_refusals_by_run",
-            baseline.shadow_share(),
-            current.shadow_share(),
+            baseline.wrongful_share_by_run(),
+            current.wrongful_share_by_run(),
         );
-        self.note(
+        self.record(
             "worst_account",
             baseline.worst_account(),
             current.worst_account(),
         );
-        self.note("wait_p99_ms", baseline.wait_p99_ms(), current.wait_p99_ms());
-        self.note("bytes_per_vm_8", 0.0, current.bytes_per_vm());
-        self.note("stall_p99_ms", 0.0, current.stall_p99_ms());
+        self.record("wait_p99_ms", baseline.wait_p99_ms(), current.wait_p99_ms());
+        self.record("bytes_per_vm_8", 0.0, current.bytes_per_vm());
+        self.record("stall_p99_ms", 0.0, current.stall_p99_ms());
         self.target("wrongful_refusals_healthy_8", 0.005, wrongful);
-        self.note_whole(&scenario::skewed(seed, &TODAY));
+        self.record_upper_bound(&scenario::skewed(seed, &SMALL_FLEET));
         let tenth = baseline.wrongful_share() / 10.0;
         self.target("wrongful_refusals_tenth_of_split_8", tenth, wrongful);
-        let (baseline, current) = self.both(&scenario::skewed(seed, &MIDDLE));
+        let (baseline, current) = self.run_both(&scenario::skewed(seed, &MIDDLE_FLEET));
         let wrongful = current.wrongful_share();
-        self.note("wrongful_refusals_64", baseline.wrongful_share(), wrongful);
-        self.note(
+        self.record("wrongful_refusals_64", baseline.wrongful_share(), wrongful);
+        self.record(
             "worst_account_64",
             baseline.worst_account(),
             current.worst_account(),
         );
-        self.note("bytes_per_vm_64", 0.0, current.bytes_per_vm());
+        self.record("bytes_per_vm_64", 0.0, current.bytes_per_vm());
         self.target("wrongful_refusals_healthy_64", 0.005, wrongful);
         let tenth = baseline.wrongful_share() / 10.0;
         self.target("wrongful_refusals_tenth_of_split_64", tenth, wrongful);
     }
 
     /// Notes what reserving the upper bound at admission costs.
-    fn note_whole(&mut self, plan: &FleetPlan) {
+    fn record_upper_bound(&mut self, plan: &FleetPlan) {
         let mut plan = plan.clone();
-        plan.reserve = ReservePlan::Whole;
-        let outcome = self.play(plan);
-        let whole = &mut self.whole;
-        whole.insert("wrongful_refusals", round(outcome.wrongful_share()));
-        whole.insert("worst_account", round(outcome.worst_account()));
-        whole.insert("bytes_per_vm_8", round(outcome.bytes_per_vm()));
+        plan.reserve = ReservePlan::UpperBound;
+        let outcome = self.run_plan(plan);
+        let measures = &mut self.upper_bound;
+        measures.insert("wrongful_refusals", round(outcome.wrongful_share()));
+        measures.insert("worst_account", round(outcome.worst_account()));
+        measures.insert("bytes_per_vm_8", round(outcome.bytes_per_vm()));
     }
 
     fn cut_off(&mut self, seed: u64) {
-        let (baseline, current) = self.both(&scenario::cut_off(seed, &TODAY));
+        let (baseline, current) = self.run_both(&scenario::cut_off(seed, &SMALL_FLEET));
         let beyond = current.wrongful_share();
-        self.note("wrongful_refusals_cut", baseline.wrongful_share(), beyond);
-        self.note(
+        self.record("wrongful_refusals_cut", baseline.wrongful_share(), beyond);
+        self.record(
             "worst_account_cut",
             baseline.worst_account(),
             current.worst_account(),
@@ -120,21 +120,22 @@
         self.target("refusals_beyond_cut_off_parts", 0.02, beyond);
     }
 
-    fn five_fold(&mut self, seed: u64) {
-        let (_, calm) = self.both(&scenario::five_fold(seed, &TODAY, 0));
-        let (baseline, loud) = self.both(&scenario::five_fold(seed, &TODAY, 5));
-        let change = others_refused(&loud) - others_refused(&calm);
-        self.note(
+    fn first_account_load(&mut self, seed: u64) {
+        let (_, idle) = self.run_both(&scenario::first_account_load(seed, &SMALL_FLEET, 0));
+        let (baseline, loaded) =
+            self.run_both(&scenario::first_account_load(seed, &SMALL_FLEET, 5));
+        let change = others_refused(&loaded) - others_refused(&idle);
+        self.record(
             "others_refused_beside_5x",
             others_refused(&baseline),
-            others_refused(&loud),
+            others_refused(&loaded),
         );
         self.target("others_refused_change_beside_5x", 0.001, change.max(0.0));
     }
 
     fn changes(&mut self, seed: u64) {
-        let (baseline, current) = self.both(&scenario::rate_change(seed, &TODAY));
-        self.note(
+        let (baseline, current) = self.run_both(&scenario::rate_change(seed, &SMALL_FLEET));
+        self.record(
             "refused_rate_change",
             baseline.refused_share(),
             current.refused_share(),
@@ -144,7 +145,7 @@
     fn faulty(&mut self, seed: u64) {
         for run in 0..FAULTY_RUNS {
             let seed = seed.wrapping_mul(1_000).wrapping_add(run);
-            self.play(scenario::chaos(seed, &TODAY, 120 * SECOND));
+            self.run_plan(scenario::chaos(seed, &SMALL_FLEET, 120 * SECOND));
         }
     }
 
@@ -166,7 +167,7 @@
         report.policies.insert("current", self.current);
         report
             .policies
-            .insert("current_reserving_whole", self.whole);
+            .insert("current_reserving_whole", self.upper_bound);
         report.targets = self.targets;
     }
 }
@@ -174,9 +175,9 @@
 /// Returns the share of refused requests of all accounts but the first.
 fn others_refused(outcome: &FleetOutcome) -> f64 {
     let others = outcome.accounts.iter().skip(1);
-    let asked: u64 = others.clone().map(|account| account.asked).sum();
+    let requests: u64 = others.clone().map(|account| account.requests).sum();
     let refused: u64 = others.map(|account| account.refused).sum();
-    super::outcome::share(refused, asked)
+    super::outcome::share(refused, requests)
 }
 
 fn round(value: f64) -> f64 {
--- a/crates/clementinepond_measure/src/experiment/limits/roster.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/roster.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Parts that make a whole.
-const WHOLE_PARTS: u32 = 1_024;
+const TOTAL_PARTS: u32 = 1_024;
 
 #[derive(Debug)]
 struct RosterEntry {
@@ -29,7 +29,7 @@
         let total: usize = centres.iter().sum();
         let mut entries = Vec::new();
         for (centre, &count) in centres.iter().enumerate() {
-            let parts = split(WHOLE_PARTS, count);
+            let parts = split(TOTAL_PARTS, count);
             for parts in parts {
                 if let Ok(name) = format!("vm-{}", entries.len()).parse() {
                     entries.push(RosterEntry {
@@ -43,9 +43,9 @@
         }
         let mut shares: Vec<u32> = centres
             .iter()
-            .map(|&count| (WHOLE_PARTS as usize * count / total.max(1)) as u32)
+            .map(|&count| (TOTAL_PARTS as usize * count / total.max(1)) as u32)
             .collect();
-        let rest = WHOLE_PARTS - shares.iter().sum::<u32>();
+        let rest = TOTAL_PARTS - shares.iter().sum::<u32>();
         if let Some(last) = shares.last_mut() {
             *last += rest;
         }
@@ -87,16 +87,16 @@
     /// Moves the parts of a VM to another member of its data centre.
     pub(super) fn move_parts(&mut self, vm: usize) {
         let centre = self.entries[vm].centre;
-        let heir = self
+        let recipient = self
             .entries
             .iter()
             .enumerate()
             .filter(|(index, entry)| *index != vm && entry.centre == centre && entry.is_member)
             .min_by_key(|(_, entry)| entry.parts)
             .map(|(index, _)| index);
-        if let Some(heir) = heir {
+        if let Some(recipient) = recipient {
             let parts = std::mem::take(&mut self.entries[vm].parts);
-            self.entries[heir].parts += parts;
+            self.entries[recipient].parts += parts;
         }
     }
 
@@ -128,10 +128,10 @@
     }
 }
 
-fn split(whole: u32, count: usize) -> Vec<u32> {
+fn split(total: u32, count: usize) -> Vec<u32> {
     let count = u32::try_from(count).unwrap_or(1).max(1);
-    let mut parts = vec![whole / count; count as usize];
-    for part in parts.iter_mut().take((whole % count) as usize) {
+    let mut parts = vec![total / count; count as usize];
+    for part in parts.iter_mut().take((total % count) as usize) {
         *part += 1;
     }
     parts
--- a/crates/clementinepond_measure/src/experiment/limits/scale.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/scale.rs
@@ -3,30 +3,30 @@
 use super::fleet::FleetSimulation;
 use super::outcome::FleetOutcome;
 use super::plan::{FleetPlan, SECOND};
-use super::scenario::grow;
+use super::scenario::scaled_fleet;
 use crate::{ExperimentReport, MeasureTable, TargetResult};
 
 /// Bytes a second that all control of one VM may send.
-const BYTE_BUDGET: f64 = 12_000.0;
+const BYTES_PER_SECOND_BUDGET: f64 = 12_000.0;
 /// Measured time of the largest fleet.
-const LARGE_LENGTH: u64 = 4 * SECOND;
+const LARGE_MEASURED_US: u64 = 4 * SECOND;
 /// Warm-up of the largest fleet, which includes the start wait.
-const LARGE_WARM_UP: u64 = 58 * SECOND;
+const LARGE_WARM_UP_US: u64 = 58 * SECOND;
 
 /// Runs 8 and 64 VMs.
 #[must_use]
 pub fn run_scale(seed: u64) -> ExperimentReport {
-    let small = grow(seed, &[3, 3, 2], 5, 112);
-    let middle = grow(seed, &[16; 4], 100, 900);
+    let small = scaled_fleet(seed, &[3, 3, 2], 5, 112);
+    let middle = scaled_fleet(seed, &[16; 4], 100, 900);
     report("limits-scale", seed, vec![("8", small), ("64", middle)])
 }
 
 /// Runs 390 VMs, 1,000 accounts and 5,500 requests a second.
 #[must_use]
 pub fn run_fleet(seed: u64) -> ExperimentReport {
-    let mut plan = grow(seed, &[98, 98, 97, 97], 1_000, 5_500);
-    plan.warm_up = LARGE_WARM_UP;
-    plan.length = LARGE_WARM_UP + LARGE_LENGTH;
+    let mut plan = scaled_fleet(seed, &[98, 98, 97, 97], 1_000, 5_500);
+    plan.warm_up = LARGE_WARM_UP_US;
+    plan.length = LARGE_WARM_UP_US + LARGE_MEASURED_US;
     report("limits-fleet", seed, vec![("390", plan)])
 }
 
@@ -38,9 +38,11 @@
         over_limit += outcome.over_limit();
         let bytes = outcome.bytes_per_vm();
         let target = format!("bytes_per_vm_{size}");
-        report
-            .targets
-            .push(TargetResult::at_most(&target, BYTE_BUDGET, bytes));
+        report.targets.push(TargetResult::at_most(
+            &target,
+            BYTES_PER_SECOND_BUDGET,
+            bytes,
+        ));
         report.policies.insert(policy(size), measures(&outcome));
     }
     report.violations.insert("account_over_limit", over_limit);
@@ -56,7 +58,7 @@
 }
 
 fn measures(outcome: &FleetOutcome) -> MeasureTable {
-    let seconds = outcome.measured as f64 / 1e6;
+    let seconds = outcome.measured_time as f64 / 1e6;
     let messages = outcome.messages as f64 / seconds / outcome.vms.max(1) as f64;
     MeasureTable::from([
         ("bytes_per_vm", outcome.bytes_per_vm().round()),
--- a/crates/clementinepond_measure/src/experiment/limits/scenario.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/scenario.rs
@@ -6,11 +6,11 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Longest fault of a faulty run, in microseconds.
-const FAULT_SPAN: u64 = 12 * SECOND;
+const FAULT_DURATION_LIMIT_US: u64 = 12 * SECOND;
 
 /// Returns five accounts, a few of them large.
 #[must_use]
-pub fn today_accounts(load: u64) -> Vec<AccountPlan> {
+pub fn mixed_accounts(load: u64) -> Vec<AccountPlan> {
     [12_000, 8_000, 4_000, 2_000, 1_000]
         .into_iter()
         .map(|rate| AccountPlan::new(rate, load))
@@ -26,7 +26,7 @@
 /// A healthy network; 80% of an account's calls hit 20% of the VMs.
 #[must_use]
 pub fn skewed(seed: u64, centres: &[usize]) -> FleetPlan {
-    let mut plan = FleetPlan::healthy(seed, centres.to_vec(), today_accounts(600));
+    let mut plan = FleetPlan::healthy(seed, centres.to_vec(), mixed_accounts(600));
     plan.length = 200 * SECOND;
     plan
 }
@@ -42,7 +42,7 @@
         at: 40 * SECOND,
         kind: FaultKind::CutCentre {
             centre: 0,
-            span: 110 * SECOND,
+            duration: 110 * SECOND,
         },
     }];
     plan
@@ -50,7 +50,7 @@
 
 /// The first account sends `fold` times its rate.
 #[must_use]
-pub fn five_fold(seed: u64, centres: &[usize], fold: u64) -> FleetPlan {
+pub fn first_account_load(seed: u64, centres: &[usize], fold: u64) -> FleetPlan {
     let mut plan = skewed(seed, centres);
     if let Some(first) = plan.accounts.first_mut() {
         first.load = 1_000 * fold;
@@ -63,7 +63,7 @@
 #[must_use]
 pub fn rate_change(seed: u64, centres: &[usize]) -> FleetPlan {
     let mut plan = skewed(seed, centres);
-    plan.accounts = today_accounts(1_500);
+    plan.accounts = mixed_accounts(1_500);
     let steps = [(50, 300), (80, 1_500), (110, 100), (140, 1_000)];
     plan.faults = steps
         .into_iter()
@@ -80,20 +80,20 @@
 /// Every kind of fault, on a network that loses, doubles and reorders.
 #[must_use]
 pub fn chaos(seed: u64, centres: &[usize], length: u64) -> FleetPlan {
-    let mut plan = FleetPlan::healthy(seed, centres.to_vec(), today_accounts(2_000));
+    let mut plan = FleetPlan::healthy(seed, centres.to_vec(), mixed_accounts(2_000));
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     plan.network = NetworkPlan::faulty();
     plan.drift_ppm = 500;
-    plan.audit = 97_000;
-    plan.settle_time += FAULT_SPAN;
+    plan.audit_interval = 97_000;
+    plan.settle_time += FAULT_DURATION_LIMIT_US;
     plan.warm_up = 0;
     plan.length = length;
     if rng.random_range(0..2) == 0 {
-        plan.reserve = ReservePlan::Whole;
+        plan.reserve = ReservePlan::UpperBound;
     }
     let vms: usize = centres.iter().sum();
     let mut at = 10 * SECOND;
-    while at + FAULT_SPAN < length {
+    while at + FAULT_DURATION_LIMIT_US < length {
         at += rng.random_range(SECOND / 2..4 * SECOND);
         let kind = draw_fault(vms, centres.len(), plan.accounts.len(), &mut rng);
         plan.faults.push(FaultPlan { at, kind });
@@ -103,13 +103,13 @@
 
 fn draw_fault(vms: usize, centres: usize, accounts: usize, rng: &mut ChaCha8Rng) -> FaultKind {
     let vm = rng.random_range(0..vms);
-    let span = rng.random_range(SECOND / 10..FAULT_SPAN);
+    let duration = rng.random_range(SECOND / 10..FAULT_DURATION_LIMIT_US);
     match rng.random_range(0..20) {
-        0..=5 => FaultKind::Pause { vm, span },
-        6..=8 => FaultKind::Isolate { vm, span },
+        0..=5 => FaultKind::Pause { vm, duration },
+        6..=8 => FaultKind::Isolate { vm, duration },
         9..=11 => FaultKind::CutCentre {
             centre: rng.random_range(0..centres),
-            span,
+            duration,
         },
         12..=14 => FaultKind::Restart { vm },
         15 => FaultKind::Crash { vm },
@@ -123,12 +123,12 @@
 
 /// A larger fleet at the load of the two-year target.
 #[must_use]
-pub fn grow(seed: u64, centres: &[usize], accounts: usize, requests: u64) -> FleetPlan {
-    let rate = requests * super::stream::MEAN_COST * 10 / 6 / accounts.max(1) as u64;
+pub fn scaled_fleet(seed: u64, centres: &[usize], accounts: usize, requests: u64) -> FleetPlan {
+    let rate = requests * super::stream::MEAN_REQUEST_TOKENS * 10 / 6 / accounts.max(1) as u64;
     let accounts = small_accounts(accounts, rate.max(600), 600);
     let mut plan = FleetPlan::healthy(seed, centres.to_vec(), accounts);
     plan.balance = BalancePlan::Even;
-    plan.tick = 50_000;
+    plan.tick_interval = 50_000;
     plan.warm_up = 40 * SECOND;
     plan.length = 46 * SECOND;
     plan
--- a/crates/clementinepond_measure/src/experiment/limits/stream.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/stream.rs
@@ -7,14 +7,14 @@
 use std::collections::VecDeque;
 
 /// Tokens of the largest prompt.
-const PROMPT_LIMIT: u64 = 2_000;
+const MAX_PROMPT_TOKENS: u64 = 2_000;
 /// Tokens of the smallest prompt.
-const PROMPT_FLOOR: u64 = 50;
+const MIN_PROMPT_TOKENS: u64 = 50;
 /// Most tokens that a request may generate.
-const OUTPUT_LIMIT: u64 = 512;
+const MAX_OUTPUT_TOKENS: u64 = 512;
 
 /// Mean cost of a request, in tokens.
-pub(super) const MEAN_COST: u64 = 690;
+pub(super) const MEAN_REQUEST_TOKENS: u64 = 690;
 
 /// One request of a client.
 #[derive(Debug, Clone, Copy)]
@@ -33,10 +33,10 @@
     /// Draws a request.
     pub(super) fn draw(account: usize, plan: &AccountPlan, rng: &mut ChaCha8Rng) -> Self {
         let burst = plan.limit.burst.whole();
-        let most = PROMPT_LIMIT.min(burst / 4).max(PROMPT_FLOOR + 1);
-        let small = rng.random_range(PROMPT_FLOOR..most);
-        let prompt = rng.random_range(PROMPT_FLOOR..=small);
-        let limit = OUTPUT_LIMIT.min(burst / 4).max(4);
+        let most = MAX_PROMPT_TOKENS.min(burst / 4).max(MIN_PROMPT_TOKENS + 1);
+        let small = rng.random_range(MIN_PROMPT_TOKENS..most);
+        let prompt = rng.random_range(MIN_PROMPT_TOKENS..=small);
+        let limit = MAX_OUTPUT_TOKENS.min(burst / 4).max(4);
         Self {
             account,
             prompt,
@@ -77,11 +77,11 @@
     /// Tokens generated in all.
     pub(super) generated: u64,
     /// Tokens generated under the oldest part.
-    pub(super) in_part: u64,
+    pub(super) generated_in_part: u64,
     /// Whether a further part was asked for.
-    pub(super) is_asking: bool,
+    pub(super) is_part_requested: bool,
     /// Time that the stream stood still for lack of tokens, in microseconds.
-    pub(super) stalled: u64,
+    pub(super) stall_time: u64,
 }
 
 impl TokenStream {
@@ -89,7 +89,7 @@
     #[must_use]
     pub(super) fn reserved(&self) -> u64 {
         let parts: u64 = self.parts.iter().map(|part| part.output).sum();
-        parts - self.in_part
+        parts - self.generated_in_part
     }
 
     /// Returns the size of the next part to ask for, if one is needed.
@@ -100,6 +100,6 @@
         };
         let covered = self.generated + self.reserved();
         let is_needed = covered < self.request.limit && self.reserved() <= size / 2;
-        (is_needed && !self.is_asking).then(|| size.min(self.request.limit - covered))
+        (is_needed && !self.is_part_requested).then(|| size.min(self.request.limit - covered))
     }
 }
--- a/crates/clementinepond_measure/src/experiment/limits/wire.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/wire.rs
@@ -3,11 +3,11 @@
 use clementinepond_decide::limit::LimitMessage;
 
 /// Bytes of TCP, IP and framing for each message.
-const FRAME_SIZE: u64 = 60;
+const FRAME_OVERHEAD_BYTES: u64 = 60;
 
 /// Returns the size of a message, framing included.
 #[must_use]
 pub(super) fn size(message: &LimitMessage) -> u64 {
     let body = postcard::to_allocvec(message).map_or(0, |bytes| bytes.len() as u64);
-    body + FRAME_SIZE
+    body + FRAME_OVERHEAD_BYTES
 }
--- a/crates/clementinepond_measure/tests/limits.rs
+++ b/crates/clementinepond_measure/tests/limits.rs
@@ -5,7 +5,7 @@
 use clementinepond_decide::limit::{AccountLimit, LimitMutation};
 use clementinepond_measure::experiment::limits::{
     FaultKind, FaultPlan, FleetPlan, FleetSimulation, LimitChange, NetworkPlan, PolicyKind,
-    ReservePlan, SECOND, SpendLedger, chaos, cut_off, skewed, today_accounts,
+    ReservePlan, SECOND, SpendLedger, chaos, cut_off, mixed_accounts, skewed,
 };
 use clementinepond_types::{TokenCount, TokenRate};
 
@@ -29,8 +29,8 @@
     plan.stops_at_breach = true;
     match mutation {
         LimitMutation::TrustRestartedLender => {
-            plan.accounts = today_accounts(900);
-            plan.reserve = ReservePlan::Whole;
+            plan.accounts = mixed_accounts(900);
+            plan.reserve = ReservePlan::UpperBound;
             plan.network = NetworkPlan::healthy();
             repeat_fault(&mut plan, 9 * SECOND, |index| FaultKind::Restart {
                 vm: order[index % 3],
@@ -47,7 +47,7 @@
             plan.network = NetworkPlan::healthy();
             repeat_fault(&mut plan, 5 * SECOND, |index| FaultKind::Isolate {
                 vm: order[index % 5],
-                span: 9 * SECOND,
+                duration: 9 * SECOND,
             });
         }
         _ => {}
@@ -66,10 +66,10 @@
     let found = seeds.find(|seed| breaches(plan(mutation, *seed)) > 0);
     assert!(found.is_some(), "{mutation:?}: no run went over a limit");
     let seed = found.unwrap();
-    let mut sound = plan(mutation, seed);
-    sound.settings.mutation = LimitMutation::None;
+    let mut guarded = plan(mutation, seed);
+    guarded.settings.mutation = LimitMutation::None;
     assert_eq!(
-        breaches(sound),
+        breaches(guarded),
         0,
         "{mutation:?}: seed {seed} with the guard"
     );
@@ -85,19 +85,19 @@
 }
 
 guards! {
-    a_lapsed_lot_is_dropped: KeepExpiredTokenLoans from 0,
-    a_lapsed_loan_is_dropped: KeepExpiredPartLoans from 0,
-    a_deadline_counts_from_the_request: CountFromReceipt from 3,
-    clocks_drift: IgnoreDrift from 0,
-    capacity_moves_with_tokens: LendWithoutCapacity from 0,
-    a_lot_is_backed_until_its_deadline: IgnoreBacking from 7,
-    a_narrower_loan_is_confirmed_late: ConfirmEarly from 3,
-    a_repeated_grant_counts_once: AddRepeatedGrants from 0,
-    a_repeated_return_counts_once: AddRepeatedReturns from 0,
-    loans_of_two_rosters_share_a_list: IgnoreEarlierLoans from 0,
-    a_restarted_vm_waits: SkipStartWait from 1,
-    a_restarted_lender_is_not_trusted: TrustRestartedLender from 0,
-    a_lent_slice_is_not_used: KeepLentSlice from 0,
+    expired_token_loan_is_dropped: KeepExpiredTokenLoans from 0,
+    expired_part_loan_is_dropped: KeepExpiredPartLoans from 0,
+    deadline_counts_from_request: CountFromReceipt from 3,
+    clock_drift_is_allowed_for: IgnoreDrift from 0,
+    capacity_moves_with_lent_tokens: LendWithoutCapacity from 0,
+    token_loan_is_backed_until_deadline: IgnoreBacking from 7,
+    narrowed_loan_is_confirmed_late: ConfirmEarly from 3,
+    repeated_grant_counts_once: AddRepeatedGrants from 0,
+    repeated_return_counts_once: AddRepeatedReturns from 0,
+    loans_of_two_rosters_are_counted_together: IgnoreEarlierLoans from 0,
+    restarted_vm_waits: SkipStartWait from 1,
+    restarted_lender_is_not_trusted: TrustRestartedLender from 0,
+    lent_slice_is_not_used: KeepLentSlice from 0,
 }
 
 #[test]
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_skewed_balancer_costs_a_tenth_of_the_static_split() {
+fn skewed_balancing_refuses_at_most_a_tenth_of_static_split() {
     let mut current = skewed(5, &[3, 2]);
     current.length = 60 * SECOND;
     current.reserve = ReservePlan::Parts(128);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_run_is_repeatable() {
+fn same_seed_gives_same_outcome() {
     let run = || {
         let mut plan = cut_off(3, &[2, 2]);
         plan.length = 50 * SECOND;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_window_check_is_exact() {
+fn window_check_is_exact() {
     let limit = |rate, burst| AccountLimit {
         rate: TokenRate::new(rate),
         burst: TokenCount::new(burst),
@@ -153,10 +153,10 @@
         limit: limit(10, 100),
     }];
     let mut ledger = SpendLedger::default();
-    ledger.note(SECOND, micro(100));
-    ledger.note(2 * SECOND, micro(10));
+    ledger.record(SECOND, micro(100));
+    ledger.record(2 * SECOND, micro(10));
     assert_eq!(ledger.excess(&changes, 0), 0);
-    ledger.note(2 * SECOND, 1);
+    ledger.record(2 * SECOND, 1);
     assert_eq!(ledger.excess(&changes, 0), 1);
     let lowered = [
         changes[0],
@@ -166,7 +166,7 @@
         },
     ];
     let mut ledger = SpendLedger::default();
-    ledger.note(4 * SECOND, micro(50));
-    ledger.note(20 * SECOND, micro(11));
+    ledger.record(4 * SECOND, micro(50));
+    ledger.record(20 * SECOND, micro(11));
     assert_eq!(ledger.excess(&lowered, 5 * SECOND), micro(1));
 }
