--- a/crates/clementinepond_measure/src/experiment/limits/audit.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/audit.rs
@@ -1,17 +1,17 @@
-//! Audit of every VM's rights at one moment.
+//! Audit of the limits held by all VMs at one time.
 //!
-//! Rights in messages on their way are not seen, so that an audit never
-//! finds more than there is.
+//! Tokens and loans in undelivered messages aren't counted, so an audit may miss
+//! a breach but never reports one that doesn't exist.
 
 use super::fleet::{FleetEvent, FleetSimulation};
 use super::ledger::limit_at;
 use super::policy::VmPolicy;
 
-/// One million, the whole of a clock's drift.
+/// Denominator of clock drift, which is given in parts per million.
 const MILLION: i128 = 1_000_000;
 
 impl FleetSimulation {
-    /// Adds the rights of all VMs up and compares them with the limits.
+    /// Compares the rates and capacities of all VMs with each account's limit.
     pub(super) fn audit(&mut self) {
         for account in 0..self.account_ids.len() {
             let (rate, capacity) = self.total_rights(account);
@@ -24,7 +24,10 @@
         self.push(at, FleetEvent::Audit);
     }
 
-    /// Returns the sum of all refill rates, in true time, and capacities.
+    /// Returns the sums of all refill rates and of all capacities.
+    ///
+    /// The rate is corrected for clock drift and in millionths of a micro-token
+    /// per second; the capacity is in micro-tokens.
     fn total_rights(&mut self, account: usize) -> (i128, u64) {
         let id = &self.account_ids[account];
         let mut rate = 0;
--- a/crates/clementinepond_measure/src/experiment/limits/central.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/central.rs
@@ -1,9 +1,9 @@
-//! The ideal: one bucket for the whole fleet, or one a side of a partition.
+//! Ideal limiter: one bucket for the whole fleet, or one on each side of a partition.
 
 use clementinepond_decide::limit::AccountLimit;
 use clementinepond_types::{TimeSpan, TokenCount};
 
-/// Bucket that knows the true cost of each request.
+/// Token bucket that charges the true cost of each request.
 #[derive(Debug, Clone)]
 pub(super) struct CentralBucket {
     limit: AccountLimit,
@@ -12,7 +12,7 @@
 }
 
 impl CentralBucket {
-    /// Starts empty, as a fleet does.
+    /// Returns an empty bucket, since a fleet also starts without tokens.
     #[must_use]
     pub(super) fn new(limit: AccountLimit) -> Self {
         Self {
@@ -28,26 +28,26 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// Changes the limit.
+    /// Changes the limit and caps the level at the new burst.
     pub(super) fn set_limit(&mut self, limit: AccountLimit, now: u64) {
         self.refill(now);
         self.limit = limit;
         self.level = self.level.min(limit.burst);
     }
 
-    /// Returns whether a cost would be admitted.
+    /// Returns whether the level covers a cost.
     pub(super) fn can_admit(&mut self, cost: TokenCount, now: u64) -> bool {
         self.refill(now);
         self.level >= cost
     }
 
-    /// Charges a cost, down to zero.
+    /// Charges a cost; the level doesn't fall below zero.
     pub(super) fn charge(&mut self, cost: TokenCount, now: u64) {
         self.refill(now);
         self.level = self.level.saturating_sub(cost);
     }
 
-    /// Admits a cost if there is enough.
+    /// Charges a cost if the level covers it and returns whether it did.
     pub(super) fn admit(&mut self, cost: TokenCount, now: u64) -> bool {
         let has = self.can_admit(cost, now);
         if has {
@@ -56,7 +56,7 @@
         has
     }
 
-    /// Splits off `parts` of `whole`.
+    /// Splits off a bucket with `parts` of `total` of the limit and the level.
     pub(super) fn split(&mut self, parts: u64, total: u64, now: u64) -> Self {
         self.refill(now);
         let mut other = self.clone();
@@ -67,7 +67,7 @@
         other
     }
 
-    /// Joins another side again.
+    /// Merges the bucket of the other side after a partition.
     pub(super) fn join(&mut self, mut other: Self, limit: AccountLimit, now: u64) {
         self.refill(now);
         other.refill(now);
--- a/crates/clementinepond_measure/src/experiment/limits/client.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/client.rs
@@ -8,13 +8,13 @@
 use clementinepond_types::{LocalTime, PriorityClass, TimeSpan, TokenCount};
 use rand::RngExt;
 
-/// Interval between two reports of generated tokens, in microseconds.
+/// Interval between two reports of generated tokens.
 const GENERATION_INTERVAL_US: u64 = 240_000;
 /// Tokens generated in that interval.
 const TOKENS_PER_INTERVAL: u64 = 8;
-/// Mean length of a burst of calls, in microseconds.
+/// Mean length of a burst of requests.
 const MEAN_BURST_US: f64 = 2e6;
-/// Most time between an admission and its dispatch on a healthy VM.
+/// Upper bound of the time between an admission and its dispatch on a VM that isn't paused.
 const DISPATCH_DELAY_LIMIT_US: u64 = 300;
 /// Priority of new requests.
 const NEW_PRIORITY: u8 = 100;
--- a/crates/clementinepond_measure/src/experiment/limits/fault.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a simulated fleet.
+//! Injection of faults into a simulated fleet.
 
 use super::fleet::{FleetEvent, FleetSimulation};
 use super::ledger::LimitChange;
@@ -6,11 +6,11 @@
 use super::policy::VmPolicy;
 use clementinepond_decide::limit::{AccountLimit, LimitEvent};
 
-/// Delay of the first news to a VM that starts, in microseconds.
+/// Delay until a restarted VM receives its roster and account table.
 const RESTART_UPDATE_DELAY_US: u64 = 200_000;
-/// Time between a VM's leave and its release, in microseconds.
+/// Time between a VM's removal from the roster and the release of its parts.
 const RELEASE_DELAY_US: u64 = 1_000_000;
-/// Addition to the hold-off before the parts of a stopped VM move.
+/// Addition to the longest grant lifetime before the parts of a crashed VM move.
 const HOLD_OFF_MARGIN_US: u64 = 2_000_000;
 
 impl FleetSimulation {
--- a/crates/clementinepond_measure/src/experiment/limits/fleet.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: many VMs, a network, clients and engines.
+//! Discrete-event simulation of a fleet: VMs, network, clients and engines.
 
 use super::central::CentralBucket;
 use super::host::{FleetVm, PendingAdmission};
@@ -14,13 +14,16 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Longest delay of a roster or configuration on its way to a VM.
+/// Upper bound of the delay of a roster or account table on its way to a VM.
 const UPDATE_DELAY_LIMIT_US: u64 = 400_000;
 
-/// Incarnation of the first process of each VM; large, as random ones are.
+/// Incarnation of the first process of each VM.
+///
+/// Large like the random incarnations of real processes, so that message sizes
+/// are realistic.
 const FIRST_INCARNATION: u32 = 0x9e37_79b9;
 
-/// What happens at one moment.
+/// Event of the simulation.
 #[derive(Debug)]
 pub(super) enum FleetEvent {
     Arrive {
@@ -57,7 +60,7 @@
     Audit,
 }
 
-/// A fleet in virtual time.
+/// Simulated fleet; all times in microseconds of virtual time.
 #[derive(Debug)]
 pub struct FleetSimulation {
     pub(super) plan: FleetPlan,
@@ -84,7 +87,7 @@
 }
 
 impl FleetSimulation {
-    /// Runs a plan from start to end.
+    /// Runs a plan to its end, or to the first breach if it stops there.
     #[must_use]
     pub fn run(plan: FleetPlan) -> FleetOutcome {
         let mut fleet = Self::new(plan);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Tells every VM the rosters, each after a delay of its own.
+    /// Sends every VM the rosters, each after a random delay unless immediate.
     pub(super) fn send_roster(&mut self, is_immediate: bool) {
         self.roster.advance();
         for vm in 0..self.vms.len() {
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Tells every VM the limits, each after a delay of its own.
+    /// Sends every VM the account limits, each after a random delay unless immediate.
     pub(super) fn send_table(&mut self, is_immediate: bool) {
         self.table_version += 1;
         let table = self.table();
@@ -299,7 +302,9 @@
         self.deliver(vm, incarnation, LimitEvent::Tick);
     }
 
-    /// Lets a VM handle an event, after its pause if it is paused.
+    /// Delivers an event to a VM, after the end of its pause if it is paused.
+    ///
+    /// Events of an earlier incarnation or for a stopped VM are dropped.
     pub(super) fn deliver(&mut self, vm: usize, incarnation: u32, event: LimitEvent) {
         let host = &mut self.vms[vm];
         if host.incarnation != incarnation || host.is_stopped {
--- a/crates/clementinepond_measure/src/experiment/limits/host.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/host.rs
@@ -1,10 +1,10 @@
-//! One VM of a simulated fleet, and what waits on it.
+//! One VM of a simulated fleet and the requests that await admission.
 
 use super::policy::VmPolicy;
 use super::stream::RequestPlan;
 use clementinepond_types::{LocalTime, VmId};
 
-/// One VM of the fleet.
+/// One VM of the fleet; times in microseconds.
 #[derive(Debug)]
 pub(super) struct FleetVm {
     pub(super) name: VmId,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Request that waits for its admission.
+/// Request, or further part of a stream, that awaits admission or dispatch.
 #[derive(Debug)]
 pub(super) struct PendingAdmission {
     pub(super) request: RequestPlan,
--- a/crates/clementinepond_measure/src/experiment/limits/ledger.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/ledger.rs
@@ -1,42 +1,45 @@
 //! Exact check of spent tokens against rate and burst over every window.
 //!
-//! The largest excess over all windows equals the highest mark of a leaky
-//! bucket that drains at the rate, above the burst.
+//! The largest excess over all windows equals the highest level above the burst
+//! that a leaky bucket reaches when it drains at the rate.
 
 use clementinepond_decide::limit::AccountLimit;
 
-/// Micro-tokens times microseconds a second, the unit of the leaky bucket.
+/// Factor from micro-tokens to the unit of the leaky bucket's level.
+///
+/// A drain of micro-tokens per second over microseconds needs no division in
+/// this unit, so the check stays exact.
 const MICROS_PER_SECOND: i128 = 1_000_000;
 
-/// Tokens spent at one moment.
+/// Tokens spent at one time, in micro-tokens.
 #[derive(Debug, Clone, Copy)]
 struct Spend {
     at: u64,
     micro: u64,
 }
 
-/// Limit in force from one moment on.
+/// Change of an account's limit.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitChange {
-    /// Moment of the change, in microseconds.
+    /// Time of the change, in microseconds.
     pub at: u64,
-    /// Limit from then on.
+    /// Limit in force from that time on.
     pub limit: AccountLimit,
 }
 
-/// What one account spent.
+/// Tokens spent by one account.
 #[derive(Debug, Default)]
 pub struct SpendLedger {
     spends: Vec<Spend>,
 }
 
 impl SpendLedger {
-    /// Notes tokens spent at a moment.
+    /// Records tokens spent at a time, in micro-tokens and microseconds.
     pub fn record(&mut self, at: u64, micro: u64) {
         self.spends.push(Spend { at, micro });
     }
 
-    /// Returns the tokens spent.
+    /// Returns the total spent, in micro-tokens.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.spends.iter().map(|spend| spend.micro).sum()
@@ -44,8 +47,8 @@
 
     /// Returns the largest excess of any window, in micro-tokens.
     ///
-    /// Until `settle_time` after a change the larger limit counts; windows
-    /// that begin later are held to the new limit alone.
+    /// Until `settle_time` after a change, the larger of the old and new limits
+    /// applies; windows that begin later must keep to the new limit alone.
     #[must_use]
     pub fn excess(&mut self, changes: &[LimitChange], settle_time: u64) -> u64 {
         self.spends.sort_by_key(|spend| spend.at);
@@ -75,7 +78,9 @@
     }
 }
 
-/// Returns the largest rate and burst that count at one moment.
+/// Returns the largest rate and burst that apply at one time, in micro-tokens.
+///
+/// A replaced limit still applies until `settle_time` after its replacement.
 #[must_use]
 pub(super) fn limit_at(changes: &[LimitChange], at: u64, settle_time: u64) -> (u64, u64) {
     let since = at.saturating_sub(settle_time);
@@ -92,7 +97,7 @@
     })
 }
 
-/// Returns the largest drain between two moments and the largest burst so far.
+/// Returns the largest drain between two times and the largest burst up to the end.
 fn envelope(changes: &[LimitChange], from: u64, to: u64, settle_time: u64) -> (i128, u64) {
     let mut times: Vec<u64> = changes
         .iter()
--- a/crates/clementinepond_measure/src/experiment/limits/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/mod.rs
@@ -1,8 +1,9 @@
-//! Limits of accounts over a whole fleet.
+//! Simulation of account limits over a whole fleet.
 //!
-//! Many real reducers run in virtual time on a small network that delays,
-//! loses, repeats and reorders messages and that is cut. Every run is checked
-//! against the exact bound over all windows, beside an equal static split.
+//! The production limit reducer of every VM runs in virtual time on a simulated
+//! network that delays, loses, duplicates and reorders messages and that can be
+//! partitioned. Every run is checked against the exact bound over all windows
+//! and compared with an equal static split.
 
 mod audit;
 mod central;
--- a/crates/clementinepond_measure/src/experiment/limits/network.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/network.rs
@@ -1,30 +1,30 @@
-//! The network between VMs: latency, loss, repetition, reordering and cuts.
+//! Simulated network between VMs: latency, loss, duplication and reordering.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Fate of messages between VMs.
+/// Latency and fault rates of messages between VMs.
 #[derive(Debug, Clone, Copy)]
 pub struct NetworkPlan {
     /// Latency within a data centre, in microseconds.
     pub near_latency: u64,
     /// Latency between data centres, in microseconds.
     pub far_latency: u64,
-    /// Largest addition to the latency of one message, in microseconds.
+    /// Upper bound of the random addition to a message's latency, in microseconds.
     pub jitter: u64,
-    /// Messages lost, in thousandths.
+    /// Probability that the first copy of a message is lost, in thousandths.
     pub lost: u32,
-    /// Messages delivered twice, in thousandths.
+    /// Probability that an additional copy is sent, in thousandths.
     pub duplicated: u32,
-    /// Messages that are late by up to ten seconds, in thousandths.
+    /// Probability that a copy is late by up to 10 seconds, in thousandths.
     pub late: u32,
 }
 
-/// Longest delay of a late message, in microseconds.
+/// Upper bound of the additional delay of a late message.
 const LATE_DELAY_LIMIT_US: u64 = 10_000_000;
 
 impl NetworkPlan {
-    /// A healthy network of today's size.
+    /// Returns a network without faults, with the latencies of the present data centres.
     #[must_use]
     pub const fn healthy() -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A network on which every fault is common.
+    /// Returns a network on which loss, duplication and late delivery are frequent.
     #[must_use]
     pub const fn faulty() -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the delay of each copy that arrives.
+    /// Returns the delay of each copy that arrives, in microseconds.
     pub fn deliveries(&self, is_near: bool, rng: &mut ChaCha8Rng) -> Vec<u64> {
         let mut copies = Vec::with_capacity(1);
         if rng.random_range(0..1_000) >= self.lost {
--- a/crates/clementinepond_measure/src/experiment/limits/outcome.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/outcome.rs
@@ -1,50 +1,50 @@
-//! What one run of a fleet showed.
+//! Measurements of one run of a fleet.
 
 use super::ledger::SpendLedger;
 
-/// Counts of one account.
+/// Counters of one account.
 #[derive(Debug, Default)]
 pub struct AccountOutcome {
-    /// Requests after the warm-up.
+    /// Requests that arrived after the warm-up.
     pub requests: u64,
-    /// Requests refused.
+    /// Refused requests that arrived after the warm-up.
     pub refused: u64,
-    /// Requests refused that the ideal bucket admits.
+    /// Refused requests that the ideal bucket admits.
     pub wrongful: u64,
-    /// Requests refused although the tokens actually run leave room.
+    /// Refused requests for which the tokens of admitted requests leave room.
     pub wrongful_shadow: u64,
-    /// Requests that the ideal bucket refuses.
+    /// Requests that the ideal bucket refuses, after the warm-up.
     pub ideal_refused: u64,
-    /// Tokens by the moment of admission.
+    /// Tokens spent, by time of admission.
     pub admitted: SpendLedger,
-    /// Tokens by the moment of generation.
+    /// Tokens spent, by time of generation.
     pub generated: SpendLedger,
-    /// Largest excess of any window by admission, in micro-tokens.
+    /// Largest excess of any window by time of admission, in micro-tokens.
     pub admitted_excess: u64,
-    /// Largest excess of any window by generation, in micro-tokens.
+    /// Largest excess of any window by time of generation, in micro-tokens.
     pub generated_excess: u64,
 }
 
-/// Counts of one run.
+/// Counters of one run.
 #[derive(Debug, Default)]
 pub struct FleetOutcome {
-    /// Counts by account.
+    /// Counters of each account.
     pub accounts: Vec<AccountOutcome>,
-    /// Bytes of messages between VMs.
+    /// Bytes of messages between VMs after the warm-up.
     pub bytes: u64,
-    /// Messages between VMs.
+    /// Messages between VMs after the warm-up.
     pub messages: u64,
-    /// Waits of admitted requests, in microseconds.
+    /// Wait of each admitted request, in microseconds.
     pub waits: Vec<u64>,
-    /// Times that streams stood still for lack of tokens, in microseconds.
+    /// Time that each finished stream stalled for lack of tokens, in microseconds.
     pub stalls: Vec<u64>,
-    /// Admissions that lapsed before their dispatch.
+    /// Admissions that expired before their dispatch.
     pub expired: u64,
-    /// Audits that found more rights than an account has.
+    /// Times that an audit found an account over its rate or burst.
     pub audit_breaches: u64,
-    /// Length of the measured time, in microseconds.
+    /// Length of the run without its warm-up, in microseconds.
     pub measured_time: u64,
-    /// VMs at the start.
+    /// Number of VMs at the start.
     pub vms: u64,
 }
 
@@ -53,13 +53,13 @@
         self.accounts.iter().map(count).sum()
     }
 
-    /// Returns the share of requests refused although inside the rate.
+    /// Returns the share of requests refused although the ideal bucket admits them.
     #[must_use]
     pub fn wrongful_share(&self) -> f64 {
         share(self.sum(|a| a.wrongful), self.sum(|a| a.requests))
     }
 
-    /// Returns the same share, judged by the tokens actually run.
+    /// Returns the share of requests refused although admitted tokens leave room.
     #[must_use]
     pub fn wrongful_share_by_run(&self) -> f64 {
         share(self.sum(|a| a.wrongful_shadow), self.sum(|a| a.requests))
@@ -71,8 +71,9 @@
         share(self.sum(|a| a.refused), self.sum(|a| a.requests))
     }
 
-    /// Returns the share of requests served for the worst-served account,
-    /// of those that the ideal bucket admits.
+    /// Returns the lowest share of any account that isn't wrongfully refused.
+    ///
+    /// The share is taken of the requests that the ideal bucket admits.
     #[must_use]
     pub fn worst_account(&self) -> f64 {
         self.accounts
@@ -82,34 +83,32 @@
             .fold(1.0, f64::min)
     }
 
-    /// Returns the accounts that ran more than their limit allows, judged by
-    /// the moment of admission.
+    /// Returns the number of accounts over their limit, by time of admission.
     #[must_use]
     pub fn over_limit(&self) -> u64 {
         self.sum(|account| u64::from(account.admitted_excess > 0))
     }
 
-    /// Returns the same, judged by the moment of generation.
+    /// Returns the number of accounts over their limit, by time of generation.
     #[must_use]
     pub fn over_limit_generated(&self) -> u64 {
         self.sum(|account| u64::from(account.generated_excess > 0))
     }
 
-    /// Returns bytes a second and VM.
+    /// Returns the bytes that a VM sends per second, averaged over VMs and time.
     #[must_use]
     pub fn bytes_per_vm(&self) -> f64 {
         let seconds = self.measured_time as f64 / 1e6;
         self.bytes as f64 / seconds.max(1e-6) / self.vms.max(1) as f64
     }
 
-    /// Returns the wait that 99 in 100 admitted requests stay within, in
-    /// milliseconds.
+    /// Returns the 99th percentile of the waits of admitted requests, in milliseconds.
     #[must_use]
     pub fn wait_p99_ms(&self) -> f64 {
         quantile_ms(&self.waits)
     }
 
-    /// Returns the stall that 99 in 100 streams stay within, in milliseconds.
+    /// Returns the 99th percentile of the stall times of streams, in milliseconds.
     #[must_use]
     pub fn stall_p99_ms(&self) -> f64 {
         quantile_ms(&self.stalls)
@@ -123,7 +122,7 @@
     sorted.get(index).copied().unwrap_or(0) as f64 / 1e3
 }
 
-/// Returns `part / whole`, or zero.
+/// Returns `part / whole`, or zero if `whole` is zero.
 #[must_use]
 pub(super) fn share(part: u64, whole: u64) -> f64 {
     if whole == 0 {
--- a/crates/clementinepond_measure/src/experiment/limits/plan.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/plan.rs
@@ -1,16 +1,16 @@
-//! What one simulated fleet looks like and what befalls it.
+//! Plan of a run: fleet, load, settings and faults.
 
 use super::network::NetworkPlan;
 use super::policy::PolicyKind;
 use clementinepond_decide::limit::{AccountLimit, LimitSettings};
 use clementinepond_types::{TokenCount, TokenRate};
 
-/// Tokens that a running stream reserves at a time.
+/// Tokens that a stream reserves at a time.
 const PART_TOKENS: u64 = 128;
 /// One second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
 
-/// Load of one account.
+/// Limit and load of one account.
 #[derive(Debug, Clone, Copy)]
 pub struct AccountPlan {
     /// Limit at the start.
@@ -22,7 +22,7 @@
 }
 
 impl AccountPlan {
-    /// Plans an account of `rate` tokens a second with ten seconds of burst.
+    /// Plans an account of `rate` tokens per second with a burst of 10 seconds of its rate.
     #[must_use]
     pub fn new(rate: u64, load: u64) -> Self {
         Self {
@@ -36,120 +36,120 @@
     }
 }
 
-/// How calls of one account spread over the VMs.
+/// Distribution of an account's requests over the VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BalancePlan {
-    /// Every VM gets as many.
+    /// Every VM is equally likely.
     Even,
-    /// 80% of the calls hit 20% of the VMs.
+    /// 80% of the requests go to a preferred 20% of the VMs.
     Skewed,
 }
 
-/// How tokens that are not generated yet are reserved.
+/// Reservation of tokens that aren't generated yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReservePlan {
-    /// The upper bound at admission.
+    /// Reserves the upper bound at admission.
     UpperBound,
-    /// Parts of this many tokens, ahead of need.
+    /// Reserves parts of this many tokens before they are needed.
     Parts(u64),
 }
 
-/// What befalls the fleet.
+/// Fault, or change of a limit, during a run.
 #[derive(Debug, Clone, Copy)]
 pub enum FaultKind {
-    /// A VM stops for a while and then goes on.
+    /// A VM pauses and then continues with its state.
     Pause {
-        /// The VM.
+        /// Index of the VM.
         vm: usize,
-        /// Length, in microseconds.
+        /// Length of the fault, in microseconds.
         duration: u64,
     },
-    /// A VM loses its state and starts again under the same name.
+    /// A VM loses its state and restarts under the same name.
     Restart {
-        /// The VM.
+        /// Index of the VM.
         vm: usize,
     },
-    /// A VM stops for good; its parts move after the hold-off.
+    /// A VM stops permanently; its parts move after the hold-off.
     Crash {
-        /// The VM.
+        /// Index of the VM.
         vm: usize,
     },
     /// A VM leaves gracefully.
     Leave {
-        /// The VM.
+        /// Index of the VM.
         vm: usize,
     },
-    /// A VM exchanges no messages with others for a while.
+    /// A VM can't exchange messages with any other VM.
     Isolate {
-        /// The VM.
+        /// Index of the VM.
         vm: usize,
-        /// Length, in microseconds.
+        /// Length of the fault, in microseconds.
         duration: u64,
     },
-    /// A data centre exchanges no messages with others for a while.
+    /// A data centre can't exchange messages with the others.
     CutCentre {
-        /// The data centre.
+        /// Index of the data centre.
         centre: usize,
-        /// Length, in microseconds.
+        /// Length of the fault, in microseconds.
         duration: u64,
     },
-    /// The limit of an account changes, in thousandths of the present one.
+    /// The limit of an account changes to a fraction or multiple of the planned one.
     ChangeLimit {
-        /// The account.
+        /// Index of the account.
         account: usize,
-        /// New rate and burst, in thousandths of the plan's.
+        /// New rate and burst, in thousandths of the planned ones.
         scale: u64,
     },
 }
 
-/// One fault at one moment.
+/// Fault and the time at which it occurs.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultPlan {
-    /// Moment, in microseconds.
+    /// Time of the fault, in microseconds.
     pub at: u64,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// One run of a simulated fleet.
+/// Plan of one run of a simulated fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// VMs in each data centre.
+    /// Number of VMs in each data centre.
     pub centres: Vec<usize>,
-    /// Accounts.
+    /// Limits and loads of the accounts.
     pub accounts: Vec<AccountPlan>,
-    /// Time without measurement at the start, in microseconds.
+    /// Time at the start that isn't measured, in microseconds.
     pub warm_up: u64,
     /// Length of the run, in microseconds.
     pub length: u64,
-    /// Spread of calls.
+    /// Distribution of requests over the VMs.
     pub balance: BalancePlan,
-    /// Reservation of tokens.
+    /// Reservation of tokens that aren't generated yet.
     pub reserve: ReservePlan,
-    /// Fate of messages.
+    /// Latency and faults of the network.
     pub network: NetworkPlan,
-    /// Largest difference of a clock from true time, in millionths.
+    /// Largest drift of a VM's clock from true time, in parts per million.
     pub drift_ppm: i64,
-    /// Policy of every VM.
+    /// Limit policy of all VMs.
     pub policy: PolicyKind,
-    /// Settings of the reducer.
+    /// Settings of the limit reducer.
     pub settings: LimitSettings,
-    /// Faults.
+    /// Faults during the run.
     pub faults: Vec<FaultPlan>,
     /// Interval between ticks of a VM, in microseconds.
     pub tick_interval: u64,
-    /// Time after which a changed limit must be in force, in microseconds.
+    /// Time within which a changed limit must take effect, in microseconds.
     pub settle_time: u64,
-    /// Interval between audits of all rights, in microseconds; none when 0.
+    /// Interval between audits, in microseconds; 0 for no audits.
     pub audit_interval: u64,
-    /// Whether the run ends at the first breach that an audit finds.
+    /// Whether the run ends at the first breach found by an audit.
     pub stops_at_breach: bool,
 }
 
 impl FleetPlan {
-    /// Plans a healthy fleet.
+    /// Plans a fleet without faults.
     #[must_use]
     pub fn healthy(seed: u64, centres: Vec<usize>, accounts: Vec<AccountPlan>) -> Self {
         Self {
--- a/crates/clementinepond_measure/src/experiment/limits/policy.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Limit policies under comparison.
 
 use clementinepond_decide::limit::{
     AccountLimit, AdmissionRequest, LimitEffect, LimitEvent, LimitSettings, LimitState,
@@ -7,26 +7,26 @@
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Which policy a fleet runs.
+/// Limit policy of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// Equal static split: each VM uses its own slice alone.
+    /// Equal static split: each VM uses only its own slice.
     StaticSplit,
-    /// The reducer of this system.
+    /// The limit reducer used in production.
     Current,
 }
 
-/// Limits of one VM under one policy.
+/// State of the limit policy on one VM.
 #[derive(Debug)]
 pub(super) enum VmPolicy {
     /// Equal static split.
     StaticSplit(Box<StaticSplit>),
-    /// The reducer of this system.
+    /// The limit reducer used in production.
     Current(Box<LimitState>),
 }
 
 impl VmPolicy {
-    /// Starts a policy on one VM.
+    /// Returns the initial state of a policy on one VM.
     #[must_use]
     pub(super) fn new(
         kind: PolicyKind,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event and returns its effects.
     pub(super) fn handle(&mut self, event: LimitEvent, now: LocalTime) -> Vec<LimitEffect> {
         match self {
             Self::StaticSplit(split) => split.handle(event, now),
@@ -67,7 +67,7 @@
     prompt: TokenCount,
 }
 
-/// Equal static split: a bucket a VM, no messages, no queue.
+/// Equal static split: one bucket per account and VM, no messages and no queue.
 #[derive(Debug, Default)]
 pub(super) struct StaticSplit {
     fraction: PartFraction,
--- a/crates/clementinepond_measure/src/experiment/limits/report.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/report.rs
@@ -1,4 +1,4 @@
-//! The report of the experiment.
+//! Report of the experiment.
 
 use super::fleet::FleetSimulation;
 use super::outcome::FleetOutcome;
@@ -7,14 +7,14 @@
 use super::scenario;
 use crate::{ExperimentReport, MeasureTable, TargetResult};
 
-/// Data centres and VMs of today.
+/// VMs in each data centre of the present fleet.
 const SMALL_FLEET: [usize; 3] = [3, 3, 2];
-/// Data centres and VMs of a middle size.
+/// VMs in each data centre of a fleet of 64 VMs.
 const MIDDLE_FLEET: [usize; 4] = [16, 16, 16, 16];
-/// Seeds of faulty runs in one experiment.
+/// Chaos runs in one experiment, each with its own seed.
 const FAULTY_RUNS: u64 = 12;
 
-/// Runs the experiment.
+/// Runs all scenarios and returns the report.
 #[must_use]
 pub fn run(seed: u64) -> ExperimentReport {
     let mut report = ExperimentReport::new("limits", seed);
@@ -49,7 +49,7 @@
         outcome
     }
 
-    /// Runs the static split, which reserves the upper bound, and ours.
+    /// Runs a plan under the static split, which reserves the upper bound, and as given.
     fn run_both(&mut self, plan: &FleetPlan) -> (FleetOutcome, FleetOutcome) {
         let mut baseline = plan.clone();
         baseline.policy = PolicyKind::StaticSplit;
@@ -97,7 +97,7 @@
         self.target("wrongful_refusals_tenth_of_split_64", tenth, wrongful);
     }
 
-    /// Notes what reserving the upper bound at admission costs.
+    /// Measures the cost of reserving the upper bound at admission.
     fn record_upper_bound(&mut self, plan: &FleetPlan) {
         let mut plan = plan.clone();
         plan.reserve = ReservePlan::UpperBound;
@@ -172,7 +172,7 @@
     }
 }
 
-/// Returns the share of refused requests of all accounts but the first.
+/// Returns the share of refused requests over all accounts but the first.
 fn others_refused(outcome: &FleetOutcome) -> f64 {
     let others = outcome.accounts.iter().skip(1);
     let requests: u64 = others.clone().map(|account| account.requests).sum();
--- a/crates/clementinepond_measure/src/experiment/limits/roster.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/roster.rs
@@ -1,10 +1,10 @@
-//! The rosters of a simulated fleet, changed as the platform would.
+//! Rosters of a simulated fleet and the changes that the platform makes to them.
 
 use clementinepond_decide::limit::{RemoteDataCentre, RosterView};
 use clementinepond_types::{DataCentreId, Epoch, PartCount, VmId};
 use std::collections::BTreeMap;
 
-/// Parts that make a whole.
+/// Parts into which a data centre's limits, and the whole fleet, are divided.
 const TOTAL_PARTS: u32 = 1_024;
 
 #[derive(Debug)]
@@ -74,17 +74,17 @@
         self.epoch += 1;
     }
 
-    /// Returns the share of the fleet of a data centre, in parts of 1,024.
+    /// Returns the share of the fleet that a data centre holds, in parts of 1,024.
     pub(super) fn share(&self, centre: usize) -> u64 {
         u64::from(self.shares[centre])
     }
 
-    /// Takes a VM off the member list; its parts stay its own.
+    /// Removes a VM from the member list without moving its parts.
     pub(super) fn remove_member(&mut self, vm: usize) {
         self.entries[vm].is_member = false;
     }
 
-    /// Moves the parts of a VM to another member of its data centre.
+    /// Moves the parts of a VM to the member of its data centre with the fewest parts.
     pub(super) fn move_parts(&mut self, vm: usize) {
         let centre = self.entries[vm].centre;
         let recipient = self
--- a/crates/clementinepond_measure/src/experiment/limits/scale.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/scale.rs
@@ -1,4 +1,4 @@
-//! Cost of control as the fleet grows, at 14 requests a second and VM.
+//! Cost of limit messages as the fleet grows, at 14 requests per second and VM.
 
 use super::fleet::FleetSimulation;
 use super::outcome::FleetOutcome;
@@ -6,14 +6,14 @@
 use super::scenario::scaled_fleet;
 use crate::{ExperimentReport, MeasureTable, TargetResult};
 
-/// Bytes a second that all control of one VM may send.
+/// Bytes per second that one VM may send for control.
 const BYTES_PER_SECOND_BUDGET: f64 = 12_000.0;
-/// Measured time of the largest fleet.
+/// Length of the measurement of the largest fleet.
 const LARGE_MEASURED_US: u64 = 4 * SECOND;
-/// Warm-up of the largest fleet, which includes the start wait.
+/// Warm-up of the largest fleet, which includes the wait of VMs after their start.
 const LARGE_WARM_UP_US: u64 = 58 * SECOND;
 
-/// Runs 8 and 64 VMs.
+/// Measures fleets of 8 and 64 VMs.
 #[must_use]
 pub fn run_scale(seed: u64) -> ExperimentReport {
     let small = scaled_fleet(seed, &[3, 3, 2], 5, 112);
@@ -21,7 +21,7 @@
     report("limits-scale", seed, vec![("8", small), ("64", middle)])
 }
 
-/// Runs 390 VMs, 1,000 accounts and 5,500 requests a second.
+/// Measures a fleet of 390 VMs with 1,000 accounts and 5,500 requests per second.
 #[must_use]
 pub fn run_fleet(seed: u64) -> ExperimentReport {
     let mut plan = scaled_fleet(seed, &[98, 98, 97, 97], 1_000, 5_500);
--- a/crates/clementinepond_measure/src/experiment/limits/scenario.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/scenario.rs
@@ -1,14 +1,14 @@
-//! The runs that the experiment is made of.
+//! Scenarios of the experiment.
 
 use super::network::NetworkPlan;
 use super::plan::{AccountPlan, BalancePlan, FaultKind, FaultPlan, FleetPlan, ReservePlan, SECOND};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Longest fault of a faulty run, in microseconds.
+/// Upper bound of the length of one fault in a chaos run.
 const FAULT_DURATION_LIMIT_US: u64 = 12 * SECOND;
 
-/// Returns five accounts, a few of them large.
+/// Returns five accounts of different rates, each with a load in thousandths of its rate.
 #[must_use]
 pub fn mixed_accounts(load: u64) -> Vec<AccountPlan> {
     [12_000, 8_000, 4_000, 2_000, 1_000]
@@ -17,13 +17,13 @@
         .collect()
 }
 
-/// Returns `count` accounts of equal rates.
+/// Returns `count` accounts of equal rate, with a load in thousandths of it.
 #[must_use]
 pub fn small_accounts(count: usize, rate: u64, load: u64) -> Vec<AccountPlan> {
     vec![AccountPlan::new(rate, load); count]
 }
 
-/// A healthy network; 80% of an account's calls hit 20% of the VMs.
+/// Plans a healthy network on which 80% of an account's requests favour 20% of the VMs.
 #[must_use]
 pub fn skewed(seed: u64, centres: &[usize]) -> FleetPlan {
     let mut plan = FleetPlan::healthy(seed, centres.to_vec(), mixed_accounts(600));
@@ -31,7 +31,7 @@
     plan
 }
 
-/// One data centre is cut off; the load is spread evenly.
+/// Plans a run in which one data centre is cut off and load is spread evenly.
 #[must_use]
 pub fn cut_off(seed: u64, centres: &[usize]) -> FleetPlan {
     let mut plan = skewed(seed, centres);
@@ -48,7 +48,7 @@
     plan
 }
 
-/// The first account sends `fold` times its rate.
+/// Plans a run in which the first account sends `fold` times its rate.
 #[must_use]
 pub fn first_account_load(seed: u64, centres: &[usize], fold: u64) -> FleetPlan {
     let mut plan = skewed(seed, centres);
@@ -59,7 +59,7 @@
     plan
 }
 
-/// Limits go up and down while traffic runs.
+/// Plans a run in which the limits of two accounts rise and fall under load.
 #[must_use]
 pub fn rate_change(seed: u64, centres: &[usize]) -> FleetPlan {
     let mut plan = skewed(seed, centres);
@@ -77,7 +77,7 @@
     plan
 }
 
-/// Every kind of fault, on a network that loses, doubles and reorders.
+/// Plans random faults of every kind on a network that loses, duplicates and reorders.
 #[must_use]
 pub fn chaos(seed: u64, centres: &[usize], length: u64) -> FleetPlan {
     let mut plan = FleetPlan::healthy(seed, centres.to_vec(), mixed_accounts(2_000));
@@ -121,7 +121,9 @@
     }
 }
 
-/// A larger fleet at the load of the two-year target.
+/// Plans a fleet of any size at 60% of its limits, for a total of `requests` per second.
+///
+/// Used at the sizes and the load of the two-year target.
 #[must_use]
 pub fn scaled_fleet(seed: u64, centres: &[usize], accounts: usize, requests: u64) -> FleetPlan {
     let rate = requests * super::stream::MEAN_REQUEST_TOKENS * 10 / 6 / accounts.max(1) as u64;
