--- a/crates/clementinepond_measure/src/experiment/limits/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/mod.rs
@@ -1,8 +1,9 @@
-//! Limits of accounts over a whole fleet.
+//! Simulation of account limits over a whole fleet.
 //!
-//! Many real reducers run in virtual time on a small network that delays,
-//! loses, repeats and reorders messages and that is cut. Every run is checked
-//! against the exact bound over all windows, beside an equal static split.
+//! The production limit reducer of every VM runs in virtual time on a simulated
+//! network that delays, loses, duplicates and reorders messages and that can be
+//! partitioned. Every run is checked against the exact bound over all windows
+//! and compared with an equal static split.
 
 mod audit;
 mod central;
@@ -31,5 +32,6 @@
 pub use report::run;
 pub use scale::{run_fleet, run_scale};
 pub use scenario::{
-    chaos, cut_off, five_fold, grow, rate_change, skewed, small_accounts, today_accounts,
+    chaos, cut_off, first_account_load, mixed_accounts, rate_change, scaled_fleet, skewed,
+    small_accounts,
 };
--- a/crates/clementinepond_measure/src/experiment/limits/policy.rs
+++ b/crates/clementinepond_measure/src/experiment/limits/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Limit policies under comparison.
 
 use clementinepond_decide::limit::{
     AccountLimit, AdmissionRequest, LimitEffect, LimitEvent, LimitSettings, LimitState,
@@ -7,26 +7,26 @@
 use clementinepond_types::{AccountId, LocalTime, TimeSpan, TokenCount, VmId};
 use std::collections::BTreeMap;
 
-/// Which policy a fleet runs.
+/// Limit policy of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// Equal static split: each VM uses its own slice alone.
+    /// Equal static split: each VM uses only its own slice.
     StaticSplit,
-    /// The reducer of this system.
+    /// The limit reducer used in production.
     Current,
 }
 
-/// Limits of one VM under one policy.
+/// State of the limit policy on one VM.
 #[derive(Debug)]
 pub(super) enum VmPolicy {
     /// Equal static split.
     StaticSplit(Box<StaticSplit>),
-    /// The reducer of this system.
+    /// The limit reducer used in production.
     Current(Box<LimitState>),
 }
 
 impl VmPolicy {
-    /// Starts a policy on one VM.
+    /// Returns the initial state of a policy on one VM.
     #[must_use]
     pub(super) fn new(
         kind: PolicyKind,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Handles one event.
+    /// Handles one event and returns its effects.
     pub(super) fn handle(&mut self, event: LimitEvent, now: LocalTime) -> Vec<LimitEffect> {
         match self {
             Self::StaticSplit(split) => split.handle(event, now),
@@ -67,7 +67,7 @@
     prompt: TokenCount,
 }
 
-/// Equal static split: a bucket a VM, no messages, no queue.
+/// Equal static split: one bucket per account and VM, no messages and no queue.
 #[derive(Debug, Default)]
 pub(super) struct StaticSplit {
     fraction: PartFraction,
@@ -78,7 +78,7 @@
 impl StaticSplit {
     fn handle(&mut self, event: LimitEvent, now: LocalTime) -> Vec<LimitEffect> {
         match event {
-            LimitEvent::Request(ask) => return vec![self.ask(ask, now)],
+            LimitEvent::Request(request) => return vec![self.request_admission(request, now)],
             LimitEvent::Progress { ticket, generated } => self.spend(ticket, generated),
             LimitEvent::Started { ticket } => self.spend(ticket, TokenCount::ZERO),
             LimitEvent::Settle { ticket, used } => self.settle(ticket, used, now),
@@ -109,13 +109,13 @@
         bucket.refilled_at = now;
     }
 
-    fn ask(&mut self, ask: AdmissionRequest, now: LocalTime) -> LimitEffect {
-        self.refill(&ask.account, now);
-        let cost = ask.prompt + ask.output;
-        let bucket = self.buckets.entry(ask.account.clone()).or_default();
+    fn request_admission(&mut self, request: AdmissionRequest, now: LocalTime) -> LimitEffect {
+        self.refill(&request.account, now);
+        let cost = request.prompt + request.output;
+        let bucket = self.buckets.entry(request.account.clone()).or_default();
         if bucket.level < cost {
             return LimitEffect::Refused {
-                ticket: ask.ticket,
+                ticket: request.ticket,
                 reason: RefusalReason::OverRate,
                 retry_after: Some(TimeSpan::from_secs(1)),
             };
@@ -123,14 +123,14 @@
         bucket.level = bucket.level.saturating_sub(cost);
         bucket.held += cost;
         let ticket = SplitTicket {
-            account: ask.account,
+            account: request.account,
             cost,
             spent: TokenCount::ZERO,
-            prompt: ask.prompt,
+            prompt: request.prompt,
         };
-        self.tickets.insert(ask.ticket, ticket);
+        self.tickets.insert(request.ticket, ticket);
         LimitEffect::Admitted {
-            ticket: ask.ticket,
+            ticket: request.ticket,
             deadline: now + TimeSpan::from_secs(1),
         }
     }
