--- a/crates/clementinepond_measure/src/experiment/claims/node.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/node.rs
@@ -7,7 +7,7 @@
 use clementinepond_types::{DataCentreId, LocalTime, VmId};
 
 /// Parts in which the rate of a clock is counted.
-const CLOCK_PARTS: u64 = 100_000;
+const CLOCK_RATE_UNIT: u64 = 100_000;
 
 /// Claims of one VM by one policy.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
             paused_until: 0,
             is_up: true,
             clock_offset: 7_000_000 * number + 1,
-            clock_rate: CLOCK_PARTS + number,
+            clock_rate: CLOCK_RATE_UNIT + number,
         }
     }
 
@@ -70,7 +70,7 @@
     /// Reads the VM's own clock.
     pub(super) fn clock(&self, at: u64) -> LocalTime {
         LocalTime::from_micros(
-            self.clock_offset + at / CLOCK_PARTS * self.clock_rate + at % CLOCK_PARTS,
+            self.clock_offset + at / CLOCK_RATE_UNIT * self.clock_rate + at % CLOCK_RATE_UNIT,
         )
     }
 
--- a/crates/clementinepond_measure/src/experiment/claims/tally.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/tally.rs
@@ -5,7 +5,7 @@
 
 /// End of a call, as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CallEnd {
+pub(super) enum CallOutcome {
     Ran,
     Replayed,
     AnswerNotHeld,
@@ -60,15 +60,15 @@
 }
 
 impl ClaimTally {
-    pub(super) fn count(&mut self, end: CallEnd) {
+    pub(super) fn count(&mut self, end: CallOutcome) {
         self.calls += 1;
         match end {
-            CallEnd::Ran => self.ran += 1,
-            CallEnd::Replayed => self.replayed += 1,
-            CallEnd::AnswerNotHeld => self.answer_not_held += 1,
-            CallEnd::NotRun => self.not_run += 1,
-            CallEnd::Unknown => self.unknown += 1,
-            CallEnd::VmLost => self.vm_lost += 1,
+            CallOutcome::Ran => self.ran += 1,
+            CallOutcome::Replayed => self.replayed += 1,
+            CallOutcome::AnswerNotHeld => self.answer_not_held += 1,
+            CallOutcome::NotRun => self.not_run += 1,
+            CallOutcome::Unknown => self.unknown += 1,
+            CallOutcome::VmLost => self.vm_lost += 1,
         }
     }
 
@@ -101,9 +101,9 @@
             clippy::cast_precision_loss,
             reason = "a place in a list that fits in memory"
         )]
-        let place = (quantile * last as f64).round() as usize;
+        let index = (quantile * last as f64).round() as usize;
         #[expect(clippy::cast_precision_loss, reason = "waits are below an hour")]
-        let wait = waits.get(place).map_or(0.0, |&wait| wait as f64 / 1_000.0);
+        let wait = waits.get(index).map_or(0.0, |&wait| wait as f64 / 1_000.0);
         wait
     }
 
