--- a/crates/clementinepond_measure/src/experiment/claims/baseline.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/baseline.rs
@@ -1,8 +1,8 @@
-//! The simplest honest policy: one conditional write for each claim.
+//! Baseline policy: one conditional platform write for each claim.
 //!
 //! The receiving VM creates an object named after the key and runs the call
-//! if that succeeded. A repeat finds the object and is told that the call may
-//! have run. Nothing can be claimed while the platform is away.
+//! if that succeeds. A retry finds the object and is answered that the call may
+//! have run. No key can be claimed while the platform is unavailable.
 
 use clementinepond_decide::claim::{
     ClaimEffect, ClaimEvent, ClaimKey, ClaimRefusal, ClaimTicket, ShardNumber, ShardObject,
@@ -12,10 +12,10 @@
 use clementinepond_types::{Epoch, LocalTime, TimeSpan, VmId};
 use std::collections::BTreeMap;
 
-/// Number of names, so many that two keys rarely share one.
+/// Number of object names; large, so that two keys rarely share one.
 const OBJECT_NAME_COUNT: u32 = u32::MAX;
 
-/// Wait before a write is tried again.
+/// Wait before a write is retried.
 const RETRY_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     retry_at: LocalTime,
 }
 
-/// Claims of one VM.
+/// Claim state of one VM under the baseline policy.
 #[derive(Debug)]
 pub(super) struct BaselineClaims {
     vm: VmId,
@@ -170,10 +170,10 @@
         }]
     }
 
-    /// Tries again later, or refuses what is out of time.
+    /// Schedules a retry of pending calls and refuses those past their deadline.
     ///
-    /// A write that was given up may still take effect; the key then stays
-    /// claimed by a call that did not run, which is safe.
+    /// An abandoned write may still take effect; the key then stays claimed by
+    /// a call that did not run, which is safe.
     fn retry_or_refuse(&mut self, name: ShardNumber, now: LocalTime) -> Vec<ClaimEffect> {
         let calls = self.calls.remove(&name).unwrap_or_default();
         let (expired, mut pending): (Vec<_>, Vec<_>) =
--- a/crates/clementinepond_measure/src/experiment/claims/faults.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/faults.rs
@@ -1,11 +1,11 @@
-//! Pauses, restarts, outages, cuts and roster changes.
+//! Injected faults: pauses, restarts, outages, partitions and roster changes.
 
 use super::tally::CallOutcome;
 use super::world::{ClaimWorld, MS, WorldEvent};
 use clementinepond_decide::claim::{ClaimEvent, ClaimTicket};
 use rand::RngExt as _;
 
-/// Time for which a stopped VM stays in the roster, in microseconds.
+/// Time that a stopped VM stays in the roster, in microseconds.
 const HOLD_OFF: u64 = 2_000 * MS;
 
 impl ClaimWorld {
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn fault(&mut self, event: WorldEvent, at: u64) {
+    pub(super) fn inject_fault(&mut self, event: WorldEvent, at: u64) {
         let faults = self.scenario.faults;
         match event {
             WorldEvent::Pause => {
@@ -60,7 +60,7 @@
             WorldEvent::Release => {
                 let node = self.random.random_range(0..self.nodes.len());
                 self.apply(node, ClaimEvent::Release, at);
-                // A release that takes too long ends with a stop.
+                // Stops the VM even if it does not finish the release in time.
                 let limit = self.random.random_range(500 * MS..4_000 * MS);
                 self.queue.push(at + limit, WorldEvent::Stopped(node));
                 self.next_fault(faults.release_every_ms, at, WorldEvent::Release);
@@ -81,7 +81,7 @@
             .push(at + length, WorldEvent::PartitionEnds(centre));
     }
 
-    /// Ends the process of a VM.
+    /// Stops the process of a VM and schedules the start of a new one.
     fn stop(&mut self, node: usize, at: u64) {
         if !self.nodes[node].is_up {
             return;
@@ -97,9 +97,9 @@
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in unfinished {
-            self.end(ClaimTicket::new(ticket), CallOutcome::VmLost, at);
+            self.end_call(ClaimTicket::new(ticket), CallOutcome::VmLost, at);
         }
-        // A new process starts before or after the roster notices.
+        // The new process may start before or after the VM is removed from the roster.
         let start = self.random.random_range(100 * MS..6_000 * MS);
         if start > HOLD_OFF {
             self.queue.push(at + HOLD_OFF, WorldEvent::Removed(node));
@@ -122,7 +122,7 @@
         self.queue.push(at + 300 * MS, WorldEvent::Joined(node));
     }
 
-    /// Takes a stopped VM out of its roster, once the platform answers.
+    /// Removes a stopped VM from its roster, retrying while the platform is unavailable.
     fn remove(&mut self, node: usize, at: u64) {
         if self.nodes[node].is_up {
             return;
--- a/crates/clementinepond_measure/src/experiment/claims/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/mod.rs
@@ -1,9 +1,10 @@
-//! Claims: runs beyond one, platform writes, and what faults cost callers.
+//! Simulation of idempotency claims: duplicate runs, platform writes and call outcomes.
 //!
-//! Calm runs compare platform writes and waits as keyed calls grow. A harsh
-//! run adds lost, doubled, late and reordered messages, paused and restarted
-//! VMs, owner changes, cut data centres, platform outages and platform answers
-//! that are lost after the effect. The baseline writes one object a claim.
+//! Fault-free runs compare platform writes and waits at increasing rates of
+//! calls with an idempotency key. A harsh run adds lost, duplicated, delayed
+//! and reordered messages, paused and restarted VMs, owner changes, partitioned
+//! data centres, platform outages, and platform answers that are lost after the
+//! write took effect. The baseline policy writes one object per claim.
 
 mod baseline;
 mod callers;
@@ -22,7 +23,7 @@
 use clementinepond_types::TimeSpan;
 use world::ClaimWorld;
 
-/// Keyed calls a second of the calm runs.
+/// Keyed calls per second in the fault-free runs, with the names of the measures.
 const FAULT_FREE_RATES: [(u64, &str, &str, &str); 3] = [
     (
         10,
@@ -43,26 +44,26 @@
         "wait_ms_p99_at_1000",
     ),
 ];
-/// Length of the calm runs.
+/// Duration of arrivals in each fault-free run.
 const FAULT_FREE_DURATION: TimeSpan = TimeSpan::from_secs(20);
-/// Length of the harsh run.
+/// Duration of arrivals in the harsh run.
 const HARSH_DURATION: TimeSpan = TimeSpan::from_secs(200);
-/// Keyed calls a second of the harsh run.
+/// Keyed calls per second in the harsh run.
 const HARSH_RATE: u64 = 40;
 
-/// Runs one scenario.
+/// Simulates one scenario and returns its counts.
 #[must_use]
 pub fn simulate(scenario: ClaimScenario) -> ClaimTally {
     ClaimWorld::new(scenario).run()
 }
 
-/// Runs the experiment.
+/// Runs the experiment with the default durations.
 #[must_use]
 pub fn run(seed: u64) -> ExperimentReport {
     report(seed, FAULT_FREE_DURATION, HARSH_DURATION)
 }
 
-/// Runs the experiment with given lengths.
+/// Runs the experiment with the given durations of arrivals.
 #[must_use]
 pub fn report(seed: u64, fault_free: TimeSpan, harsh: TimeSpan) -> ExperimentReport {
     let mut report = ExperimentReport::new("claims", seed);
@@ -134,7 +135,7 @@
     let interval = settings.commit_interval.millis().max(1);
     #[expect(clippy::cast_precision_loss, reason = "counts are small")]
     let commits = f64::from(settings.shard_count) * 1_000.0 / interval as f64;
-    // Taking each shard is one more write in a run.
+    // Each shard costs one extra write per run, when its owner takes it.
     #[expect(clippy::cast_precision_loss, reason = "counts are small")]
     let bound =
         commits + f64::from(settings.shard_count) / (FAULT_FREE_DURATION.millis() as f64 / 1_000.0);
--- a/crates/clementinepond_measure/src/experiment/claims/node.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/node.rs
@@ -1,4 +1,4 @@
-//! One VM: the decision code, its clock, and whether it runs.
+//! Simulated VM: claim logic, local clock and process state.
 
 use super::baseline::BaselineClaims;
 use clementinepond_decide::claim::{
@@ -6,24 +6,24 @@
 };
 use clementinepond_types::{DataCentreId, LocalTime, VmId};
 
-/// Parts in which the rate of a clock is counted.
+/// Clock rate that corresponds to virtual time; each VM's clock runs slightly faster.
 const CLOCK_RATE_UNIT: u64 = 100_000;
 
-/// Claims of one VM by one policy.
+/// Claim state of one VM under the policy being simulated.
 #[derive(Debug)]
 pub(super) enum NodeClaims {
     Current(Box<ClaimState>),
     Baseline(BaselineClaims),
 }
 
-/// One VM.
+/// Simulated VM with its own clock.
 #[derive(Debug)]
 pub(super) struct FakeNode {
     pub(super) vm: VmId,
     pub(super) data_centre: DataCentreId,
     pub(super) claims: NodeClaims,
     pub(super) incarnation: u64,
-    /// Moment until which nothing runs on the VM.
+    /// Virtual time until which the VM processes no events, in microseconds.
     pub(super) paused_until: u64,
     pub(super) is_up: bool,
     clock_offset: u64,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Starts a new process that remembers nothing.
+    /// Starts a new process with empty state.
     pub(super) fn restart(&mut self, settings: &ClaimSettings, incarnation: u64) {
         let is_baseline = matches!(self.claims, NodeClaims::Baseline(_));
         self.incarnation = incarnation;
@@ -67,7 +67,7 @@
         self.paused_until = 0;
     }
 
-    /// Reads the VM's own clock.
+    /// Returns the VM's local time at virtual time `at`.
     pub(super) fn clock(&self, at: u64) -> LocalTime {
         LocalTime::from_micros(
             self.clock_offset + at / CLOCK_RATE_UNIT * self.clock_rate + at % CLOCK_RATE_UNIT,
--- a/crates/clementinepond_measure/src/experiment/claims/platform.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/platform.rs
@@ -1,15 +1,15 @@
-//! The platform's object API: one map, conditional updates, outages.
+//! Simulated platform object API with conditional updates, a write limit and outages.
 
 use clementinepond_decide::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::ObjectVersion;
 use std::collections::BTreeMap;
 
-/// Writes a second beyond which the platform refuses.
+/// Writes per second above which the platform refuses further writes.
 const WRITES_PER_SECOND: u64 = 500;
 /// Microseconds in one second.
 const SECOND: u64 = 1_000_000;
 
-/// Objects by number, with versions from one counter.
+/// Objects by numeric name; all versions come from one counter.
 #[derive(Debug)]
 pub(super) struct FakePlatform<T> {
     objects: BTreeMap<u64, VersionedObject<T>>,
@@ -17,6 +17,7 @@
     pub(super) writes: u64,
     pub(super) reads: u64,
     pub(super) refused_writes: u64,
+    /// Current second, and the number of writes attempted in it.
     window: (u64, u64),
     pub(super) is_down: bool,
 }
--- a/crates/clementinepond_measure/src/experiment/claims/queue.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/queue.rs
@@ -1,9 +1,9 @@
-//! Events in order of virtual time.
+//! Event queue of the simulation, ordered by virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// Events in order of time, then of insertion.
+/// Priority queue of events, ordered by time and then by insertion.
 #[derive(Debug)]
 pub(crate) struct EventQueue<T> {
     order: BinaryHeap<Reverse<(u64, u64)>>,
--- a/crates/clementinepond_measure/src/experiment/claims/scenario.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/scenario.rs
@@ -1,18 +1,18 @@
-//! Sizes and faults of one run.
+//! Parameters and fault rates of one simulation run.
 
 use clementinepond_decide::claim::{ClaimMutation, ClaimSettings};
 use clementinepond_types::TimeSpan;
 
-/// How often each fault happens.
+/// Frequency of each injected fault.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultPlan {
     /// Messages lost, in thousandths.
     pub lost_messages: u32,
-    /// Messages doubled, in thousandths.
+    /// Messages delivered twice, in thousandths.
     pub duplicated_messages: u32,
-    /// Messages delayed by up to a second, in thousandths.
+    /// Messages delayed by up to 1 s, in thousandths.
     pub delayed_messages: u32,
-    /// Platform answers lost after the effect, in thousandths.
+    /// Platform answers lost after the write took effect, in thousandths.
     pub lost_answers: u32,
     /// Mean time between pauses of a VM, in milliseconds; zero for none.
     pub pause_every_ms: u64,
@@ -20,11 +20,12 @@
     pub restart_every_ms: u64,
     /// Mean time between platform outages, in milliseconds; zero for none.
     pub outage_every_ms: u64,
-    /// Mean time between cuts of a data centre, in milliseconds; zero for none.
+    /// Mean time between partitions of a data centre, in milliseconds; zero for none.
     pub partition_every_ms: u64,
-    /// Mean time between roster changes, in milliseconds; zero for none.
+    /// Mean time between releases of a VM that then leaves the roster, in milliseconds; zero for
+    /// none.
     pub release_every_ms: u64,
-    /// Runs whose outcome the edge does not learn, in thousandths.
+    /// Runs whose outcome the I/O layer does not learn, in thousandths.
     pub unknown_outcomes: u32,
 }
 
@@ -43,7 +44,7 @@
         unknown_outcomes: 0,
     };
 
-    /// Every fault, far more often than in operation.
+    /// Every fault, far more often than in production.
     pub const HARSH: Self = Self {
         lost_messages: 20,
         duplicated_messages: 50,
@@ -58,29 +59,29 @@
     };
 }
 
-/// One run of the experiment.
+/// Parameters of one simulation run.
 #[derive(Debug, Clone)]
 pub struct ClaimScenario {
-    /// Seed of everything random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Keyed calls a second, repeats not counted.
+    /// New keys per second; retries and duplicate calls are extra.
     pub calls_per_second: u64,
-    /// Length of the arrivals.
+    /// Time during which new calls arrive, from the start of the run.
     pub arrivals: TimeSpan,
-    /// Time after the arrivals.
+    /// Time after the last arrival for open calls to finish.
     pub drain: TimeSpan,
-    /// Faults.
+    /// Frequency of injected faults.
     pub faults: FaultPlan,
-    /// Whether every claim is a platform write of its own.
+    /// Whether to run the baseline, in which every claim is a separate platform write.
     pub is_baseline: bool,
-    /// Calls repeated although they were answered, in thousandths.
+    /// Answered calls that the caller retries anyway, in thousandths.
     pub retries: u32,
-    /// Settings of the decision code.
+    /// Settings of the claim logic under test.
     pub settings: ClaimSettings,
 }
 
 impl ClaimScenario {
-    /// A run without faults.
+    /// Returns a run without faults.
     #[must_use]
     pub fn fault_free(seed: u64, calls_per_second: u64, arrivals: TimeSpan) -> Self {
         Self {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// A run with every fault.
+    /// Returns a run with every fault.
     #[must_use]
     pub fn harsh(seed: u64, calls_per_second: u64, arrivals: TimeSpan) -> Self {
         let settings = ClaimSettings {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// A run whose shards fill up and whose dated keys grow old.
+    /// Returns a run without faults whose shards fill up and whose dated keys expire.
     #[must_use]
     pub fn small_limits(seed: u64, calls_per_second: u64, arrivals: TimeSpan) -> Self {
         let settings = ClaimSettings {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The same run with one guard off.
+    /// Returns the same run with one guard disabled.
     #[must_use]
     pub fn mutated(mut self, mutation: ClaimMutation) -> Self {
         self.settings.mutation = mutation;
--- a/crates/clementinepond_measure/src/experiment/claims/tally.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/tally.rs
@@ -1,9 +1,9 @@
-//! What happened to calls, and which must-holds broke.
+//! Counts of call outcomes and invariant violations.
 
 use clementinepond_decide::claim::{ClaimRefusal, RecordedAnswer};
 use std::collections::BTreeMap;
 
-/// End of a call, as its caller sees it.
+/// Outcome of a call, as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallOutcome {
     Ran,
@@ -14,48 +14,49 @@
     VmLost,
 }
 
-/// Counts of one run.
+/// Counts collected during one simulation run.
 #[derive(Debug, Default)]
 pub struct ClaimTally {
-    /// Runs of a key beyond the first.
+    /// Runs of a key after its first; must be zero.
     pub extra_runs: u64,
-    /// Refusals as not run although the call, or a key said to be clear, ran.
+    /// Calls refused as not run although the call ran or, if the refusal rules out an earlier run,
+    /// its key did; also dispatches after the call had ended.
     pub false_not_run: u64,
-    /// Answers of another key's run.
+    /// Replayed answers that belong to another key.
     pub crossed_answers: u64,
-    /// Calls on a living VM without an end.
+    /// Calls that never got an outcome although their VM kept running.
     pub lost_calls: u64,
-    /// Dispatches after the grant's deadline.
+    /// Dispatches later than the caller's dispatch timeout plus 0.1 %.
     pub late_dispatches: u64,
-    /// Calls, repeats included.
+    /// Calls that got an outcome, retries included.
     pub calls: u64,
-    /// Calls that ran.
+    /// Calls that ran and were answered.
     pub ran: u64,
-    /// Calls that got the recorded answer.
+    /// Calls answered with the recorded answer of an earlier run.
     pub replayed: u64,
-    /// Calls that were told that the answer is no longer held.
+    /// Calls whose key ran earlier but whose recorded answer was discarded.
     pub answer_not_held: u64,
     /// Calls refused as not run.
     pub not_run: u64,
-    /// Calls that were told that the outcome is unknown.
+    /// Calls that ended with an unknown outcome.
     pub unknown: u64,
-    /// Calls whose VM died.
+    /// Calls whose VM stopped before they ended.
     pub vm_lost: u64,
-    /// Calls refused by reason.
+    /// Number of refused calls by reason.
     pub refusals: BTreeMap<Box<str>, u64>,
-    /// Waits from arrival to dispatch, in microseconds.
+    /// Time from arrival to dispatch of each run, in microseconds.
     pub waits: Vec<u64>,
-    /// Keys that were called.
+    /// Number of distinct keys used.
     pub keys: u64,
-    /// Keys that ran.
+    /// Number of keys that ran at least once.
     pub keys_run: u64,
-    /// Platform writes until the arrivals end.
+    /// Platform writes, refused ones included, until arrivals end.
     pub writes: u64,
-    /// Platform reads until the arrivals end.
+    /// Platform reads until arrivals end.
     pub reads: u64,
-    /// Messages between VMs.
+    /// Messages sent between VMs, lost ones included.
     pub messages: u64,
-    /// Length of the arrivals, in seconds.
+    /// Duration of arrivals, in seconds.
     pub seconds: f64,
 }
 
@@ -79,7 +80,7 @@
             .or_default() += 1;
     }
 
-    /// Returns the sum of all breaches.
+    /// Returns the number of invariant violations of all kinds.
     #[must_use]
     pub fn breaches(&self) -> u64 {
         self.extra_runs
@@ -89,7 +90,7 @@
             + self.late_dispatches
     }
 
-    /// Returns a quantile of the wait before dispatch, in milliseconds.
+    /// Returns a quantile (0 to 1) of the wait before dispatch, in milliseconds.
     #[must_use]
     pub fn wait_ms(&self, quantile: f64) -> f64 {
         let mut waits = self.waits.clone();
@@ -99,7 +100,7 @@
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             clippy::cast_precision_loss,
-            reason = "a place in a list that fits in memory"
+            reason = "an index into a list that fits in memory"
         )]
         let index = (quantile * last as f64).round() as usize;
         #[expect(clippy::cast_precision_loss, reason = "waits are below an hour")]
@@ -107,14 +108,14 @@
         wait
     }
 
-    /// Returns a count as a share of all calls.
+    /// Returns `count` as a share of all calls, 0 to 1.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "counts are small")]
     pub fn share(&self, count: u64) -> f64 {
         count as f64 / self.calls.max(1) as f64
     }
 
-    /// Returns platform writes a second.
+    /// Returns platform writes per second of arrivals.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "counts are small")]
     pub fn writes_per_second(&self) -> f64 {
@@ -122,7 +123,7 @@
     }
 }
 
-/// Returns the answer that the service gives to a key.
+/// Returns the answer that the simulated service gives for a key.
 pub(super) fn service_answer(key: u64) -> RecordedAnswer {
     RecordedAnswer {
         status: 200,
--- a/crates/clementinepond_measure/src/experiment/claims/world.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/world.rs
@@ -1,4 +1,4 @@
-//! VMs, network, platform and callers in virtual time.
+//! Discrete-event simulation of VMs, network, platform and callers.
 
 use super::node::FakeNode;
 use super::platform::FakePlatform;
@@ -14,16 +14,16 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// VMs in each data centre.
+/// Number of VMs in each data centre.
 pub(super) const NODES_PER_CENTRE: [usize; 3] = [3, 3, 2];
 /// Microseconds in one millisecond.
 pub(super) const MS: u64 = 1_000;
-/// Time between two ticks of a VM, in microseconds.
+/// Time between ticks of a VM, in microseconds.
 const TICK_INTERVAL: u64 = 20 * MS;
-/// Time after which the edge stops waiting for the platform, in microseconds.
+/// Time after which the I/O layer stops waiting for the platform, in microseconds.
 const PLATFORM_TIMEOUT: u64 = 300 * MS;
 
-/// Something that happens at a moment.
+/// Event of the simulation; VMs and data centres are given by index.
 #[derive(Debug)]
 pub(super) enum WorldEvent {
     Tick(usize),
@@ -79,7 +79,7 @@
     Joined(usize),
 }
 
-/// Roster of one data centre on the platform.
+/// Roster of one data centre, as stored on the platform.
 #[derive(Debug)]
 pub(super) struct FakeRoster {
     pub(super) data_centre: DataCentreId,
@@ -87,7 +87,7 @@
     pub(super) members: Vec<VmId>,
 }
 
-/// One call of a caller.
+/// Call sent to a VM; every attempt is a separate call.
 #[derive(Debug)]
 pub(super) struct FakeCall {
     pub(super) key: u64,
@@ -99,7 +99,7 @@
     pub(super) is_dispatched: bool,
 }
 
-/// One key that callers use.
+/// Idempotency key and how often it ran.
 #[derive(Debug)]
 pub(super) struct FakeKey {
     pub(super) created_at: u64,
@@ -107,7 +107,7 @@
     pub(super) runs: u64,
 }
 
-/// Everything in one run.
+/// State of one simulation run.
 pub(super) struct ClaimWorld {
     pub(super) scenario: ClaimScenario,
     pub(super) random: ChaCha8Rng,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Runs until the drain is over and returns what happened.
+    /// Runs until the drain time is over and returns the counts.
     pub(super) fn run(mut self) -> ClaimTally {
         let end = (self.scenario.arrivals + self.scenario.drain).micros();
         for node in 0..self.nodes.len() {
@@ -169,7 +169,7 @@
         for centre in 0..self.rosters.len() {
             self.publish(centre, 0);
         }
-        // Owners take their shards before the first call.
+        // Gives owners 1 s to take their shards before the first call.
         self.queue.push(1_000 * MS, WorldEvent::Arrival);
         self.schedule_faults();
         while let Some((at, event)) = self.queue.pop() {
@@ -246,7 +246,7 @@
             } => self.run_done(node, incarnation, ticket, at),
             WorldEvent::Arrival => self.arrival(at),
             WorldEvent::Call { key, attempt } => self.call(key, attempt, at),
-            fault => self.fault(fault, at),
+            fault => self.inject_fault(fault, at),
         }
     }
 
@@ -286,7 +286,7 @@
                 let stop = WorldEvent::Stopped(node);
                 self.queue.push(at + 50 * MS, stop);
             }
-            end => self.call_ended(end, at),
+            end => self.record_outcome(end, at),
         }
     }
 
@@ -362,7 +362,7 @@
             return;
         }
         let delay = if is_slow {
-            // The update takes effect after the edge stopped waiting for it.
+            // The write may take effect after the I/O layer stopped waiting for it.
             self.random.random_range(0..4 * PLATFORM_TIMEOUT)
         } else {
             self.platform_delay()
@@ -418,7 +418,7 @@
         );
     }
 
-    /// Tells every VM of a roster, each after its own delay.
+    /// Sends a roster to every VM, each after its own delay; the first roster arrives at once.
     pub(super) fn publish(&mut self, centre: usize, at: u64) {
         for node in 0..self.nodes.len() {
             let delay = if at == 0 {
@@ -465,7 +465,7 @@
     ))
 }
 
-/// Returns the VM that has to run for an event.
+/// Returns the VM that processes an event, so that the event waits while the VM is paused.
 fn acting_node(event: &WorldEvent) -> Option<usize> {
     match event {
         WorldEvent::Tick(node)
