--- a/crates/clementinepond_measure/src/experiment/capacity/fit.rs
+++ b/crates/clementinepond_measure/src/experiment/capacity/fit.rs
@@ -1,16 +1,16 @@
-//! A line through measured points.
+//! Least-squares line fit.
 
-/// A line fitted by least squares.
+/// Line fitted by least squares.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LineFit {
-    /// Growth for each unit.
+    /// Increase of y per unit of x.
     pub(super) slope: f64,
-    /// Largest distance of a point from the line.
+    /// Largest vertical distance of a point from the line.
     pub(super) residual: f64,
 }
 
 impl LineFit {
-    /// Fits a line; needs at least two different positions.
+    /// Fits a line; needs points with at least two different x values.
     pub(super) fn through(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
