--- a/crates/clementinepond_measure/src/experiment/capacity/node_load.rs
+++ b/crates/clementinepond_measure/src/experiment/capacity/node_load.rs
@@ -113,7 +113,8 @@
 
 /// Measures the mean reducer time per request.
 pub(super) fn request_cost(size: LoadSize, seed: u64) -> RequestCost {
-    // A single VM holds all parts of the limits, so that no request waits for another VM.
+    // A single VM holds all parts of the data centre's share, so that no request waits for
+    // another VM.
     let mut load = NodeLoad::new(size, 1, seed);
     load.run(WARM_UP_SECONDS + 30);
     let start = Instant::now();
--- a/crates/clementinepond_measure/src/experiment/claims/node.rs
+++ b/crates/clementinepond_measure/src/experiment/claims/node.rs
@@ -6,7 +6,7 @@
 };
 use clementinepond_types::{DataCentreId, LocalTime, VmId};
 
-/// Clock rate that corresponds to virtual time; each VM's clock runs slightly faster.
+/// Clock rate equal to virtual time; the clock of VM n runs n units faster.
 const CLOCK_RATE_UNIT: u64 = 100_000;
 
 /// Claim state of one VM under the policy being simulated.
--- a/crates/clementinepond_measure/src/experiment/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! The list of experiments.
+//! Registry of experiments.
 
 pub mod capacity;
 pub mod claims;
@@ -11,18 +11,18 @@
 
 use crate::ExperimentReport;
 
-/// One experiment that can be run by name.
+/// Experiment that can be run by name.
 #[derive(Debug, Clone, Copy)]
 pub struct ExperimentEntry {
     /// Name on the command line.
     pub name: &'static str,
-    /// One line for `measure list`.
+    /// One-line description shown by `measure list`.
     pub about: &'static str,
-    /// Runs the experiment with a seed.
+    /// Runs the experiment with the given seed.
     pub run: fn(u64) -> ExperimentReport,
 }
 
-/// Every experiment, in the order of `measure list`.
+/// All experiments, in the order of `measure list`.
 pub const EXPERIMENTS: &[ExperimentEntry] = &[
     ExperimentEntry {
         name: "limits",
@@ -46,12 +46,12 @@
     },
     ExperimentEntry {
         name: "config",
-        about: "changes and withdrawn keys on their way to every VM, with a relay lost and cuts",
+        about: "propagation of changes and withdrawn keys to every VM, with a lost relay and partitions",
         run: config::run,
     },
     ExperimentEntry {
         name: "claims",
-        about: "keyed calls: runs beyond one, platform writes, cost of faults",
+        about: "calls with idempotency keys: duplicate runs, platform writes, outcomes under faults",
         run: claims::run,
     },
     ExperimentEntry {
@@ -76,17 +76,17 @@
     },
     ExperimentEntry {
         name: "placement-time",
-        about: "time of one plan; read from this machine's clock, so not repeatable",
+        about: "time of one plan; uses wall-clock time, so not reproducible",
         run: placement::run_time,
     },
     ExperimentEntry {
         name: "capacity",
-        about: "control cost of one VM by size; read from this machine's clock, so not repeatable",
+        about: "cost of one VM's control work by size; uses wall-clock time, so not reproducible",
         run: capacity::run,
     },
 ];
 
-/// Finds an experiment by name.
+/// Returns the experiment with the given name.
 #[must_use]
 pub fn find(name: &str) -> Option<&'static ExperimentEntry> {
     EXPERIMENTS.iter().find(|entry| entry.name == name)
--- a/crates/clementinepond_measure/src/lib.rs
+++ b/crates/clementinepond_measure/src/lib.rs
@@ -1,8 +1,9 @@
-//! Experiments that run the real decision code in virtual time.
+//! Experiments that run the production decision code in virtual time.
 //!
-//! Each experiment has a folder under `experiment` and one entry in
+//! Each experiment has a folder under `experiment` and at least one entry in
 //! [`experiment::EXPERIMENTS`]. The same seed gives the same report, byte for
-//! byte.
+//! byte, except in experiments that measure wall-clock time (`capacity` and
+//! `placement-time`).
 
 pub mod experiment;
 mod report;
--- a/crates/clementinepond_measure/src/report.rs
+++ b/crates/clementinepond_measure/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of one experiment.
+//! Results of one experiment run.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -6,21 +6,21 @@
 /// Measures of one policy, by name.
 pub type MeasureTable = BTreeMap<&'static str, f64>;
 
-/// One stated bound and what was found.
+/// Comparison of a measured value with its bound.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TargetResult {
-    /// What is bounded.
+    /// Description of the measured value.
     pub name: Box<str>,
-    /// The stated bound.
+    /// Largest or smallest allowed value.
     pub bound: f64,
-    /// The value found.
+    /// Measured value.
     pub value: f64,
     /// Whether the value is within the bound.
     pub met: bool,
 }
 
 impl TargetResult {
-    /// Compares a value with its largest allowed value.
+    /// Compares `value` with the largest allowed value.
     #[must_use]
     pub fn at_most(name: &str, bound: f64, value: f64) -> Self {
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Compares a value with its smallest allowed value.
+    /// Compares `value` with the smallest allowed value.
     #[must_use]
     pub fn at_least(name: &str, bound: f64, value: f64) -> Self {
         Self {
@@ -43,23 +43,23 @@
     }
 }
 
-/// Outcome of one run of an experiment.
+/// Report of one experiment run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ExperimentReport {
     /// Name of the experiment.
     pub experiment: Box<str>,
     /// Seed of the run.
     pub seed: u64,
-    /// Breaches of each must-hold; all zero in a sound run.
+    /// Number of violations of each invariant; all zero in a sound run.
     pub violations: BTreeMap<&'static str, u64>,
-    /// Measures of each policy: `baseline`, `previous`, `current`.
+    /// Measures of each policy (`baseline`, `previous`, `current`).
     pub policies: BTreeMap<&'static str, MeasureTable>,
-    /// Stated bounds and what was found.
+    /// Measured values compared with their bounds.
     pub targets: Vec<TargetResult>,
 }
 
 impl ExperimentReport {
-    /// Starts an empty report.
+    /// Creates an empty report.
     #[must_use]
     pub fn new(experiment: &str, seed: u64) -> Self {
         Self {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns whether no must-hold was broken.
+    /// Returns whether no invariant was violated.
     #[must_use]
     pub fn is_sound(&self) -> bool {
         self.violations.values().all(|&count| count == 0)
