--- a/crates/clementinepond_measure/src/experiment/config/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/config/mod.rs
@@ -91,7 +91,7 @@
         let mut plan = WorldPlan::quiet(seed, CENTRES, sizes.vms);
         plan.tick = 500 * MILLISECOND;
         plan.lost = 20;
-        plan.doubled = 10;
+        plan.duplicated = 10;
         plan.late = 5;
         plan.answers_lost = 20;
         plan.configuration.mutation = mutation;
@@ -126,7 +126,7 @@
         is_counted: impl Fn(usize) -> bool,
     ) -> f64 {
         let limit = begin + WAIT_LIMIT * SECOND;
-        while self.world.now < limit && self.world.lacking(version, &is_counted) > 0 {
+        while self.world.now < limit && self.world.count_outdated(version, &is_counted) > 0 {
             let next = self.world.now + 50 * MILLISECOND;
             self.world.run_until(next);
         }
@@ -177,14 +177,14 @@
     /// One data centre is cut off from all and learns the change afterwards.
     fn change_across_cut(&mut self) -> f64 {
         self.world.set_platform_cut(2, true);
-        self.world.cut_peers.insert(2);
+        self.world.cut_from_peers.insert(2);
         self.settle();
         let begin = self.world.now;
         let version = self.change();
         self.wait_for(version, begin, |centre| centre != 2);
         self.settle();
         self.world.set_platform_cut(2, false);
-        self.world.cut_peers.remove(&2);
+        self.world.cut_from_peers.remove(&2);
         let healed = self.world.now;
         self.wait_for(version, healed, |_| true)
     }
@@ -199,7 +199,7 @@
             request: 1,
             keys: vec![key],
         };
-        self.world.reach(1, asked.into());
+        self.world.handle_event(1, asked.into());
         let reach = self.wait_refused(&key, begin);
         self.world.restart(5);
         self.world.set_outage(false);
@@ -211,7 +211,7 @@
         self.settle();
         self.settle();
         let late = u64::from(seconds(reach) > WITHDRAWAL_BOUND);
-        let accepting = self.world.accepting(&key);
+        let accepting = self.world.count_accepting(&key);
         report
             .violations
             .insert("withdrawn_key_accepted", late + accepting);
@@ -225,7 +225,7 @@
     }
 
     fn wait_refused(&mut self, key: &KeyDigest, begin: u64) -> u64 {
-        while self.world.now < begin + WAIT_LIMIT * SECOND && self.world.accepting(key) > 0 {
+        while self.world.now < begin + WAIT_LIMIT * SECOND && self.world.count_accepting(key) > 0 {
             let next = self.world.now + 50 * MILLISECOND;
             self.world.run_until(next);
         }
--- a/crates/clementinepond_measure/src/experiment/roster/chaos.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/chaos.rs
@@ -1,33 +1,34 @@
-//! Faults at random moments.
+//! Injects faults into the simulated world at random times.
 
 use super::world::{SECOND, World};
 use clementinepond_decide::roster::WHOLE_PARTS;
 use std::collections::BTreeMap;
 
-/// Change of the surroundings at one moment.
+/// Scheduled follow-up that ends or completes a fault.
 #[derive(Debug, Clone)]
 enum ChaosStep {
     Start(usize),
-    PlatformBack,
-    CentreBack(usize),
-    PeersBack(usize),
-    VmBack(usize),
+    PlatformRestored,
+    CentreReconnected(usize),
+    PeersReconnected(usize),
+    VmReconnected(usize),
     Targets(Vec<u32>),
 }
 
-/// Faults of one run.
+/// Random fault schedule of one run.
 #[derive(Debug)]
 pub(crate) struct ChaosSchedule {
     mean_gap: u64,
     next: u64,
     sequence: u64,
     steps: BTreeMap<(u64, u64), ChaosStep>,
-    /// Faults of all kinds so far.
+    /// Number of faults injected so far.
     pub(crate) faults: u64,
 }
 
 impl ChaosSchedule {
-    /// Plans a fault about every so many microseconds.
+    /// Creates a schedule with a mean time between faults and the time of the
+    /// first fault, in microseconds.
     pub(crate) fn new(mean_gap: u64, first: u64) -> Self {
         Self {
             mean_gap,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Runs a world with faults until a true time.
+    /// Runs the world until a true time, injecting faults on the way.
     pub(crate) fn run(&mut self, world: &mut World, end: u64) {
         while world.now < end {
             let due = self.steps.keys().next().map_or(u64::MAX, |key| key.0);
@@ -52,62 +53,63 @@
             }
             if self.next <= world.now {
                 self.fault(world);
-                self.next = world.now + 1 + world.below(2 * self.mean_gap);
+                self.next = world.now + 1 + world.random_below(2 * self.mean_gap);
             }
         }
     }
 
-    fn later(&mut self, at: u64, step: ChaosStep) {
+    fn schedule(&mut self, at: u64, step: ChaosStep) {
         self.sequence += 1;
         self.steps.insert((at, self.sequence), step);
     }
 
     fn fault(&mut self, world: &mut World) {
         self.faults += 1;
-        let slot = pick(world);
-        match world.below(20) {
+        let slot = random_slot(world);
+        match world.random_below(20) {
             0..=3 => {
                 world.remove(slot);
-                let start = world.now + seconds(world, 5, 30);
-                self.later(start, ChaosStep::Start(slot));
+                let start = world.now + random_duration(world, 5, 30);
+                self.schedule(start, ChaosStep::Start(slot));
             }
             4..=7 => world.restart(slot),
             8..=10 => {
                 world.shut_down(slot);
-                let start = world.now + seconds(world, 60, 90);
-                self.later(start, ChaosStep::Start(slot));
+                let start = world.now + random_duration(world, 60, 90);
+                self.schedule(start, ChaosStep::Start(slot));
             }
             14 if world.shows_running_as_gone() => {
-                let span = seconds(world, 5, 200);
-                world.separate(slot, span);
-                self.later(world.now + span, ChaosStep::VmBack(slot));
+                let span = random_duration(world, 5, 200);
+                world.isolate(slot, span);
+                self.schedule(world.now + span, ChaosStep::VmReconnected(slot));
             }
             11..=14 => {
-                let span = seconds(world, 1, 150);
+                let span = random_duration(world, 1, 150);
                 world.pause(slot, span);
             }
             15 => {
                 world.set_outage(true);
-                let end = world.now + seconds(world, 5, 200);
-                self.later(end, ChaosStep::PlatformBack);
+                let end = world.now + random_duration(world, 5, 200);
+                self.schedule(end, ChaosStep::PlatformRestored);
             }
             16 => {
                 let centre = world.data_centre(slot);
                 world.set_platform_cut(centre, true);
-                let end = world.now + seconds(world, 5, 200);
-                self.later(end, ChaosStep::CentreBack(centre));
+                let end = world.now + random_duration(world, 5, 200);
+                self.schedule(end, ChaosStep::CentreReconnected(centre));
             }
             17 => {
                 let centre = world.data_centre(slot);
-                world.cut_peers.insert(centre);
-                let end = world.now + seconds(world, 5, 200);
-                self.later(end, ChaosStep::PeersBack(centre));
+                world.cut_from_peers.insert(centre);
+                let end = world.now + random_duration(world, 5, 200);
+                self.schedule(end, ChaosStep::PeersReconnected(centre));
             }
             _ => self.change_targets(world),
         }
     }
 
-    /// Gives new shares to some VMs now and to all later.
+    /// Draws new fleet shares, which about half of the VMs get now and all get
+    /// 3 s later.
     fn change_targets(&mut self, world: &mut World) {
         let count = world.targets.len();
         let mut left = u64::from(WHOLE_PARTS);
@@ -118,7 +120,7 @@
             } else {
                 left / 2 + 1
             };
-            let share = world.below(most + 1);
+            let share = world.random_below(most + 1);
             left -= share;
             targets.push(u32::try_from(share).unwrap_or(0));
         }
@@ -126,10 +128,10 @@
         let some: Vec<usize> = slots
             .iter()
             .copied()
-            .filter(|_| world.below(2) == 0)
+            .filter(|_| world.random_below(2) == 0)
             .collect();
         world.set_targets(targets.clone(), &some);
-        self.later(world.now + 3 * SECOND, ChaosStep::Targets(targets));
+        self.schedule(world.now + 3 * SECOND, ChaosStep::Targets(targets));
     }
 }
 
@@ -141,13 +143,13 @@
             }
             world.start_new(slot);
         }
-        ChaosStep::PlatformBack => world.set_outage(false),
-        ChaosStep::CentreBack(centre) => world.set_platform_cut(centre, false),
-        ChaosStep::PeersBack(centre) => {
-            world.cut_peers.remove(&centre);
+        ChaosStep::PlatformRestored => world.set_outage(false),
+        ChaosStep::CentreReconnected(centre) => world.set_platform_cut(centre, false),
+        ChaosStep::PeersReconnected(centre) => {
+            world.cut_from_peers.remove(&centre);
         }
-        ChaosStep::VmBack(slot) => {
-            world.separated.remove(&slot);
+        ChaosStep::VmReconnected(slot) => {
+            world.isolated.remove(&slot);
         }
         ChaosStep::Targets(targets) => {
             let slots: Vec<usize> = (0..world.processes.len()).collect();
@@ -156,11 +158,11 @@
     }
 }
 
-fn pick(world: &mut World) -> usize {
+fn random_slot(world: &mut World) -> usize {
     let count = u64::try_from(world.processes.len()).unwrap_or(1);
-    usize::try_from(world.below(count)).unwrap_or(0)
+    usize::try_from(world.random_below(count)).unwrap_or(0)
 }
 
-fn seconds(world: &mut World, least: u64, most: u64) -> u64 {
-    (least + world.below(most - least)) * SECOND
+fn random_duration(world: &mut World, least: u64, most: u64) -> u64 {
+    (least + world.random_below(most - least)) * SECOND
 }
--- a/crates/clementinepond_measure/src/experiment/roster/ledger.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/ledger.rs
@@ -1,14 +1,14 @@
-//! What each VM process may have in use at an instant.
+//! Upper bound of the parts that each VM process has in use.
 //!
-//! A process that stops using parts keeps grants on them for the longest
-//! loan. A process that is paused may act until its deadline, and its grants
-//! live on after that.
+//! When a process stops using parts, grants on them remain valid for up to the
+//! longest loan. A paused process may act until its deadline, and its grants
+//! remain valid for the longest loan after that.
 
 use clementinepond_decide::roster::{RosterTable, WHOLE_PARTS};
 use clementinepond_types::VmId;
 use std::collections::BTreeMap;
 
-/// Parts and share in use until a moment.
+/// Parts and fleet share that count as in use until a true time in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct UseLevel {
     parts: u32,
@@ -16,12 +16,13 @@
     until: u64,
 }
 
-/// Use of one process.
+/// Usage of one process: the current level, and earlier levels on which grants
+/// may still be outstanding.
 #[derive(Debug, Clone, Default)]
 struct ProcessUse {
     data_centre: usize,
     current: Option<UseLevel>,
-    lingering: Vec<UseLevel>,
+    outstanding: Vec<UseLevel>,
 }
 
 impl ProcessUse {
@@ -39,29 +40,29 @@
     fn levels(&self, now: u64) -> impl Iterator<Item = &UseLevel> {
         self.current
             .iter()
-            .chain(&self.lingering)
+            .chain(&self.outstanding)
             .filter(move |level| level.until >= now)
     }
 }
 
-/// Key of one process: its VM and its incarnation.
+/// VM and incarnation number of a process.
 pub(crate) type ProcessKey = (VmId, u64);
 
-/// Use of all processes, with the breaches found.
+/// Usage of all processes, and the violations found.
 #[derive(Debug, Default)]
 pub(crate) struct UsageLedger {
     processes: BTreeMap<ProcessKey, ProcessUse>,
     loan_micros: u64,
-    /// Instants at which a data centre used more than its whole.
+    /// Usage changes after which a data centre used more than all of its parts.
     pub(crate) over_whole: u64,
-    /// Instants at which a VM used more than its entry.
+    /// Table updates that gave a VM fewer parts than it had in use.
     pub(crate) beyond_table: u64,
-    /// Instants at which the fleet used more than its whole.
+    /// Usage changes after which the fleet used more than its total share.
     pub(crate) over_fleet: u64,
 }
 
 impl UsageLedger {
-    /// Starts an empty ledger with the longest loan.
+    /// Creates an empty ledger; `loan_micros` is the longest loan.
     pub(crate) fn new(loan_micros: u64) -> Self {
         Self {
             loan_micros,
@@ -69,9 +70,9 @@
         }
     }
 
-    /// Notes what a process may use until a deadline; returns until when
-    /// grants on a higher level may exist.
-    pub(crate) fn note_use(
+    /// Records what a process may use until a deadline, and returns the time
+    /// until which grants on a higher level may be outstanding, if any.
+    pub(crate) fn record_use(
         &mut self,
         key: &ProcessKey,
         data_centre: usize,
@@ -92,10 +93,10 @@
             until: level.until.min(now + loan),
             ..level
         });
-        process.lingering.retain(|level| level.until >= now);
-        process.lingering.extend(lowered);
+        process.outstanding.retain(|level| level.until >= now);
+        process.outstanding.extend(lowered);
         let higher = process
-            .lingering
+            .outstanding
             .iter()
             .filter(|level| level.parts > parts || level.share > share);
         let until = higher.map(|level| level.until).max();
@@ -105,18 +106,19 @@
         until
     }
 
-    /// Notes that a process ended; its grants live on.
-    pub(crate) fn note_end(&mut self, key: &ProcessKey, now: u64) {
+    /// Records that a process ended; its grants stay valid for up to the
+    /// longest loan.
+    pub(crate) fn record_end(&mut self, key: &ProcessKey, now: u64) {
         let loan = self.loan_micros;
         if let Some(process) = self.processes.get_mut(key)
             && let Some(level) = process.current.take()
         {
             let until = level.until.min(now + loan);
-            process.lingering.push(UseLevel { until, ..level });
+            process.outstanding.push(UseLevel { until, ..level });
         }
     }
 
-    /// Returns the parts that a data centre has in use.
+    /// Returns the number of parts that a data centre has in use.
     pub(crate) fn parts_in_use(&self, data_centre: usize, now: u64) -> u32 {
         self.processes
             .values()
@@ -139,10 +141,10 @@
         }
     }
 
-    /// Compares the use of each VM with a new table.
+    /// Compares the usage of each VM with an updated table.
     pub(crate) fn check_table(&mut self, data_centre: usize, table: &RosterTable, now: u64) {
         self.processes.retain(|_, process| {
-            process.current.is_some() || process.lingering.iter().any(|level| level.until >= now)
+            process.current.is_some() || process.outstanding.iter().any(|level| level.until >= now)
         });
         let mut used: BTreeMap<&VmId, u32> = BTreeMap::new();
         for ((vm, _), process) in &self.processes {
--- a/crates/clementinepond_measure/src/experiment/roster/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/mod.rs
@@ -1,4 +1,5 @@
-//! Membership under faults, and what it costs as the fleet grows.
+//! Tests roster membership under injected faults, and measures its platform
+//! calls and network traffic as the fleet grows.
 
 mod baseline;
 mod chaos;
@@ -18,51 +19,51 @@
 
 pub(crate) use world::{MILLISECOND, SECOND, World, WorldPlan};
 
-/// Bytes that one VM may send and receive for control a second.
-const TRAFFIC_BOUND: f64 = 12_000.0;
-/// Data centres and VMs of the fleets whose platform calls are compared.
+/// Limit of control traffic that one VM sends and receives, in bytes per second.
+const MAX_BYTES_PER_VM_S: f64 = 12_000.0;
+/// Fleet sizes (data centres, VMs) at which platform calls are compared.
 const FLEETS: [(usize, usize); 3] = [(4, 8), (4, 64), (4, 390)];
-/// Seconds that a fleet has to start.
-const START: u64 = 45;
+/// Time for a fleet to start before measurement begins, in seconds.
+const STARTUP_S: u64 = 45;
 
-/// Length of one run with faults.
+/// Size and length of one run with injected faults.
 #[derive(Debug, Clone, Copy)]
-pub struct ChaosLength {
-    /// VMs in three data centres.
+pub struct ChaosRun {
+    /// Number of VMs, spread over three data centres.
     pub vms: usize,
-    /// Mean time between two faults, in seconds.
-    pub gap: u64,
-    /// Length, in seconds.
+    /// Mean time between faults, in seconds.
+    pub mean_fault_gap: u64,
+    /// Simulated length of the run, in seconds.
     pub length: u64,
 }
 
-/// Lengths of the runs of one experiment.
+/// Runs that make up the experiment.
 #[derive(Debug, Clone, Copy)]
 pub struct RosterLengths {
-    /// Runs with faults.
-    pub chaos: &'static [ChaosLength],
-    /// Length of the runs without faults, in seconds.
+    /// Runs with injected faults.
+    pub chaos: &'static [ChaosRun],
+    /// Measured time of each run without faults, in seconds.
     pub steady: u64,
-    /// Largest fleet among the runs without faults.
+    /// Largest number of VMs in a run without faults; larger fleets are skipped.
     pub largest: usize,
 }
 
-/// Lengths of a full run.
-const FULL: RosterLengths = RosterLengths {
+/// Runs of the full experiment.
+const FULL_LENGTHS: RosterLengths = RosterLengths {
     chaos: &[
-        ChaosLength {
+        ChaosRun {
             vms: 8,
-            gap: 12,
+            mean_fault_gap: 12,
             length: 6_000,
         },
-        ChaosLength {
+        ChaosRun {
             vms: 24,
-            gap: 120,
+            mean_fault_gap: 120,
             length: 6_000,
         },
-        ChaosLength {
+        ChaosRun {
             vms: 64,
-            gap: 12,
+            mean_fault_gap: 12,
             length: 400,
         },
     ],
@@ -70,19 +71,21 @@
     largest: 390,
 };
 
-/// Runs the experiment.
+/// Runs the full experiment with default roster settings.
 #[must_use]
 pub fn run(seed: u64) -> ExperimentReport {
-    run_with(seed, FULL, &RosterSettings::default())
+    run_with(seed, FULL_LENGTHS, &RosterSettings::default())
 }
 
-/// Runs the experiment with other lengths and settings.
+/// Runs the experiment with the given lengths.
+///
+/// The settings apply to the runs with faults only.
 #[must_use]
 pub fn run_with(seed: u64, lengths: RosterLengths, settings: &RosterSettings) -> ExperimentReport {
     let mut report = ExperimentReport::new("roster", seed);
     let mut current = MeasureTable::new();
     for &chaos in lengths.chaos {
-        let mut plan = WorldPlan::quiet(seed ^ chaos.vms as u64, 3, chaos.vms).with_chances();
+        let mut plan = WorldPlan::quiet(seed ^ chaos.vms as u64, 3, chaos.vms).with_random_faults();
         plan.roster = settings.clone();
         run_chaos(plan, chaos, &mut report, &mut current);
     }
@@ -104,16 +107,16 @@
     report
 }
 
-/// Runs a fleet with faults and counts breaches.
+/// Runs a fleet with injected faults and counts violations.
 fn run_chaos(
     plan: WorldPlan,
-    lengths: ChaosLength,
+    lengths: ChaosRun,
     report: &mut ExperimentReport,
     current: &mut MeasureTable,
 ) {
     let vms = plan.vms;
     let mut world = World::new(plan);
-    let mut chaos = ChaosSchedule::new(lengths.gap * SECOND, 60 * SECOND);
+    let mut chaos = ChaosSchedule::new(lengths.mean_fault_gap * SECOND, 60 * SECOND);
     let mut used = 0;
     let mut samples = 0;
     for second in 1..=lengths.length {
@@ -137,7 +140,7 @@
     current.insert(name("leave_median_s", vms), median);
 }
 
-/// Returns the median and the largest of some times, in seconds.
+/// Returns the median and the largest of times in microseconds, in seconds.
 fn median_and_largest(times: &[u64]) -> (f64, f64) {
     let mut times = times.to_vec();
     times.sort_unstable();
@@ -146,11 +149,11 @@
     (ratio(median, SECOND), ratio(largest, SECOND))
 }
 
-fn add(report: &mut ExperimentReport, breach: &'static str, count: u64) {
-    *report.violations.entry(breach).or_default() += count;
+fn add(report: &mut ExperimentReport, violation: &'static str, count: u64) {
+    *report.violations.entry(violation).or_default() += count;
 }
 
-/// Runs a fleet without faults and measures calls and bytes.
+/// Runs a fleet without faults and measures platform calls and bytes sent.
 fn run_steady(
     seed: u64,
     (centres, vms): (usize, usize),
@@ -161,11 +164,11 @@
     let mut plan = WorldPlan::quiet(seed, centres, vms);
     plan.tick = 500 * MILLISECOND;
     let mut world = World::new(plan);
-    world.run_until(START * SECOND);
+    world.run_until(STARTUP_S * SECOND);
     let begin_calls = world.platform.calls;
     current.insert(name("start_calls", vms), begin_calls as f64);
     world.traffic.clear();
-    world.run_until((START + length) * SECOND);
+    world.run_until((STARTUP_S + length) * SECOND);
     let calls = ratio(world.platform.calls - begin_calls, length);
     current.insert(name("platform_calls_per_s", vms), calls);
     let (mean, largest) = world.traffic.mean_and_largest();
@@ -184,14 +187,14 @@
         );
         let bytes = TargetResult::at_most(
             "bytes a second of the busiest VM at 390",
-            TRAFFIC_BOUND,
+            MAX_BYTES_PER_VM_S,
             largest / seconds,
         );
         report.targets.extend([growth, bytes]);
     }
 }
 
-/// Returns the name of a measure at a fleet size.
+/// Returns the name of a measure with the fleet size appended.
 fn name(measure: &'static str, vms: usize) -> &'static str {
     NAMES
         .iter()
@@ -201,7 +204,7 @@
 
 macro_rules! names {
     ($($measure:literal: $($size:literal),+);+ $(;)?) => {
-        /// Names of measures at each fleet size.
+        /// Measures, fleet sizes and the combined names.
         const NAMES: &[(&str, usize, &str)] = &[
             $($(($measure, $size, concat!($measure, "_", $size))),+),+
         ];
--- a/crates/clementinepond_measure/src/experiment/roster/platform.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: versioned objects, watches and a lagging list.
+//! Fake of the platform: versioned objects with conditional updates.
 
 use clementinepond_decide::configuration::WithdrawalRecord;
 use clementinepond_decide::port::{ReadReply, StoreReply, VersionedObject};
@@ -6,10 +6,10 @@
 use clementinepond_types::ObjectVersion;
 use std::collections::BTreeMap;
 
-/// Content of one object.
+/// Content of an object.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum ObjectContent {
-    /// Table of a data centre.
+    /// Roster table of a data centre.
     Roster(RosterTable),
     /// Fleet shares.
     Shares(ShareTable),
@@ -22,23 +22,23 @@
 /// Kind of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ObjectKind {
-    /// Tables of data centres.
+    /// Roster tables, one per data centre.
     Roster,
     /// Fleet shares.
     Shares,
-    /// The configuration.
+    /// Configuration text.
     Configuration,
     /// Withdrawn keys.
     Withdrawals,
 }
 
-/// Types that are the content of one kind.
+/// Type that the objects of one kind contain.
 pub(crate) trait Stored: Clone {
-    /// Kind of the type.
+    /// Kind of object that contains this type.
     const KIND: ObjectKind;
-    /// Wraps a value.
+    /// Converts a value to object content.
     fn wrap(self) -> ObjectContent;
-    /// Unwraps a value of the kind.
+    /// Returns the value if the content is of this kind.
     fn unwrap(content: &ObjectContent) -> Option<Self>;
 }
 
@@ -70,22 +70,22 @@
 
 type ObjectKey = (ObjectKind, Box<str>);
 
-/// Objects of the platform and the calls that it counted.
+/// In-memory object store with a counter of calls.
 #[derive(Debug, Default)]
-pub(crate) struct PlatformFake {
+pub(crate) struct FakePlatform {
     objects: BTreeMap<ObjectKey, (u64, ObjectContent)>,
     version: u64,
-    /// Calls counted so far.
+    /// Number of calls received.
     pub(crate) calls: u64,
 }
 
-impl PlatformFake {
-    /// Returns the store's version.
+impl FakePlatform {
+    /// Returns the version of the latest update.
     pub(crate) const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns an object.
+    /// Returns an object with its version.
     pub(crate) fn get<T: Stored>(&self, name: &str) -> Option<VersionedObject<T>> {
         let (version, content) = self.objects.get(&(T::KIND, name.into()))?;
         Some(VersionedObject {
@@ -99,7 +99,7 @@
         self.get(name).map_or(ReadReply::Missing, ReadReply::Found)
     }
 
-    /// Answers a conditional update.
+    /// Answers an update that applies only if the version matches.
     pub(crate) fn store<T: Stored>(
         &mut self,
         name: &str,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Answers a watch, or a list with no version.
+    /// Answers a watch with all newer objects, or a list if no version is given.
     pub(crate) fn changes<T: Stored>(&self, from: Option<ObjectVersion>) -> WatchAnswer<T> {
         let from = from.map_or(0, ObjectVersion::get);
         let mut changes: Vec<WatchChange<T>> = self
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns whether a kind changed after a version.
+    /// Returns whether an object of a kind changed after a version.
     pub(crate) fn is_changed(&self, kind: ObjectKind, from: ObjectVersion) -> bool {
         self.objects
             .iter()
--- a/crates/clementinepond_measure/src/experiment/roster/process.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/process.rs
@@ -1,4 +1,4 @@
-//! One VM process: the real reducers and the clock that they see.
+//! Simulated VM process: runs the production reducers with a skewed clock.
 
 use super::platform::{ObjectKind, Stored};
 use clementinepond_decide::configuration::{
@@ -14,41 +14,42 @@
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// Message between two processes.
+/// Message between two VM processes.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) enum PeerMessage {
-    /// About the roster.
+    /// Message of the roster reducer.
     Roster(RosterMessage),
-    /// About the configuration.
+    /// Message of the configuration reducer.
     Configuration(ConfigurationMessage),
 }
 
 /// Call to the platform.
 #[derive(Debug, Clone)]
 pub(crate) enum PlatformCall {
-    /// Reads the own table.
+    /// Reads the roster table of the VM's data centre, by name.
     ReadTable(Box<str>),
-    /// Updates the own table.
+    /// Updates the roster table of the VM's data centre if its version matches.
     StoreTable(ObjectVersion, Box<RosterTable>),
     /// Reads the fleet shares.
     ReadShares,
-    /// Updates the fleet shares.
+    /// Updates the fleet shares if their version matches.
     StoreShares(ObjectVersion, ShareTable),
     /// Reads the list of VMs.
     ListVms,
-    /// Watches a kind; lists it without a version.
+    /// Waits for objects of a kind that are newer than a version, or lists all
+    /// of them if no version is given.
     Watch(ObjectKind, Option<ObjectVersion>),
     /// Reads the configuration.
     ReadContent,
     /// Reads the withdrawal record.
     ReadRecord,
-    /// Updates the withdrawal record.
+    /// Updates the withdrawal record if its version matches.
     StoreRecord(ObjectVersion, WithdrawalRecord),
 }
 
 impl PlatformCall {
-    /// Returns the event that tells that no answer came.
-    pub(crate) fn no_answer(&self) -> PartEvent {
+    /// Returns the event for a call that got no answer.
+    pub(crate) fn no_answer(&self) -> ReducerEvent {
         match self {
             Self::ReadTable(_) => RosterEvent::TableRead(ReadReply::Unavailable).into(),
             Self::StoreTable(_, table) => table_stored(table.nonce, StoreReply::Unknown),
@@ -69,77 +70,77 @@
     }
 }
 
-/// Types whose watch answers become events.
+/// Object type whose watch answers can be converted to reducer events.
 pub(crate) trait Watched: Stored {
-    /// Wraps a watch answer.
-    fn event(answer: WatchAnswer<Self>) -> PartEvent;
+    /// Converts a watch answer to an event.
+    fn event(answer: WatchAnswer<Self>) -> ReducerEvent;
 }
 
 impl Watched for RosterTable {
-    fn event(answer: WatchAnswer<Self>) -> PartEvent {
+    fn event(answer: WatchAnswer<Self>) -> ReducerEvent {
         RosterEvent::TablesWatched(answer).into()
     }
 }
 
 impl Watched for Box<str> {
-    fn event(answer: WatchAnswer<Self>) -> PartEvent {
+    fn event(answer: WatchAnswer<Self>) -> ReducerEvent {
         ConfigurationEvent::ContentWatched(answer).into()
     }
 }
 
 impl Watched for WithdrawalRecord {
-    fn event(answer: WatchAnswer<Self>) -> PartEvent {
+    fn event(answer: WatchAnswer<Self>) -> ReducerEvent {
         ConfigurationEvent::RecordWatched(answer).into()
     }
 }
 
-/// Wraps a watch answer.
-pub(crate) fn watched<T: Watched>(answer: WatchAnswer<T>) -> PartEvent {
+/// Converts a watch answer to an event.
+pub(crate) fn watched<T: Watched>(answer: WatchAnswer<T>) -> ReducerEvent {
     T::event(answer)
 }
 
-/// Wraps the answer to an update of a table.
-pub(crate) fn table_stored(nonce: UpdateNonce, reply: StoreReply<RosterTable>) -> PartEvent {
+/// Converts the answer to a table update to an event.
+pub(crate) fn table_stored(nonce: UpdateNonce, reply: StoreReply<RosterTable>) -> ReducerEvent {
     RosterEvent::TableStored { nonce, reply }.into()
 }
 
-/// Event of either part.
+/// Input event of one of the two reducers.
 #[derive(Debug, Clone)]
-pub(crate) enum PartEvent {
-    /// Of the roster.
+pub(crate) enum ReducerEvent {
+    /// Event of the roster reducer.
     Roster(Box<RosterEvent>),
-    /// Of the configuration.
+    /// Event of the configuration reducer.
     Configuration(Box<ConfigurationEvent>),
 }
 
-impl From<RosterEvent> for PartEvent {
+impl From<RosterEvent> for ReducerEvent {
     fn from(event: RosterEvent) -> Self {
         Self::Roster(Box::new(event))
     }
 }
 
-impl From<ConfigurationEvent> for PartEvent {
+impl From<ConfigurationEvent> for ReducerEvent {
     fn from(event: ConfigurationEvent) -> Self {
         Self::Configuration(Box::new(event))
     }
 }
 
-/// What the surroundings of a process must carry out.
+/// Action that the simulated world performs for a process.
 #[derive(Debug, Clone)]
 pub(crate) enum ProcessOutput {
     /// Send a message to a VM.
     Send(VmId, PeerMessage),
     /// Send a message to an address.
     SendAddress(Box<str>, PeerMessage),
-    /// Call the platform, unless the deadline passed.
+    /// Call the platform unless the deadline, on the clock of the process, has passed.
     Call(PlatformCall, LocalTime),
-    /// Use parts.
+    /// Start using these parts instead of the earlier ones.
     Use(clementinepond_decide::roster::UsableParts),
-    /// The shutdown may end.
+    /// The graceful shutdown is complete; the VM may be removed.
     Released,
 }
 
-/// Clock of a process, which runs faster or slower than true time.
+/// Local clock with an offset and a rate that differ from true time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SkewedClock {
     /// Reading at true time zero, in microseconds.
@@ -149,14 +150,17 @@
 }
 
 impl SkewedClock {
-    /// Reads the clock at a true time.
+    /// Returns the reading at a true time in microseconds.
     pub(crate) fn read(&self, now: u64) -> LocalTime {
         let scaled = u128::from(now) * u128::from(self.rate_ppm) / 1_000_000;
         let micros = u64::try_from(scaled).unwrap_or(u64::MAX);
         LocalTime::from_micros(self.offset + micros)
     }
 
-    /// Returns the true time of a reading.
+    /// Returns the true time of a reading, in microseconds.
+    ///
+    /// `LocalTime::NEVER` gives `u64::MAX / 2`, so that later additions do not
+    /// overflow.
     pub(crate) fn true_time(&self, local: LocalTime) -> u64 {
         if local == LocalTime::NEVER {
             return u64::MAX / 2;
@@ -167,31 +171,31 @@
     }
 }
 
-/// One VM process.
+/// VM process with its reducer states.
 #[derive(Debug)]
 pub(crate) struct VmProcess {
     /// Name of the VM.
     pub(crate) vm: VmId,
-    /// Data centre, by number.
+    /// Index of the data centre.
     pub(crate) data_centre: usize,
-    /// Number of the process.
+    /// Incarnation number.
     pub(crate) incarnation: u64,
-    /// Clock.
+    /// Local clock.
     pub(crate) clock: SkewedClock,
-    /// True time until which the process is paused.
+    /// True time until which the process is paused, in microseconds.
     pub(crate) paused_until: u64,
-    /// Roster part.
+    /// State of the roster reducer.
     pub(crate) roster: RosterState,
-    /// Configuration part.
+    /// State of the configuration reducer.
     pub(crate) configuration: ConfigurationState,
-    /// Times that an older version was put in force.
+    /// Number of times that an older configuration version was put in force.
     pub(crate) reverts: u64,
     in_force: ObjectVersion,
     key_text: Box<str>,
 }
 
 impl VmProcess {
-    /// Starts a process.
+    /// Creates a process that starts at true time `now`.
     pub(crate) fn new(
         own: OwnIdentity,
         data_centre: usize,
@@ -214,31 +218,32 @@
         }
     }
 
-    /// Returns the number of the process.
+    /// Returns the VM and incarnation number.
     pub(crate) fn key(&self) -> (VmId, u64) {
         (self.vm.clone(), self.incarnation)
     }
 
-    /// Returns whether the edge accepts a key.
+    /// Returns whether the process accepts a key: the configuration contains it
+    /// and it has not been withdrawn.
     pub(crate) fn accepts(&self, key: &KeyDigest) -> bool {
         !self.configuration.withdrawn().contains(key) && self.key_text.contains(&key.to_string())
     }
 
-    /// Runs one event through both reducers.
-    pub(crate) fn handle(&mut self, event: PartEvent, now: u64) -> Vec<ProcessOutput> {
+    /// Runs an event, and the events that follow from it, through the reducers.
+    pub(crate) fn handle(&mut self, event: ReducerEvent, now: u64) -> Vec<ProcessOutput> {
         let local = self.clock.read(now);
         let mut outputs = Vec::new();
         let mut queue = VecDeque::from([event]);
         while let Some(event) = queue.pop_front() {
             match event {
-                PartEvent::Roster(event) => {
+                ReducerEvent::Roster(event) => {
                     let effects =
                         clementinepond_decide::roster::reduce(&mut self.roster, *event, local);
                     for effect in effects {
                         roster_effect(effect, &mut queue, &mut outputs);
                     }
                 }
-                PartEvent::Configuration(event) => {
+                ReducerEvent::Configuration(event) => {
                     let effects = clementinepond_decide::configuration::reduce(
                         &mut self.configuration,
                         *event,
@@ -256,7 +261,7 @@
     fn configuration_effect(
         &mut self,
         effect: ConfigurationEffect,
-        queue: &mut VecDeque<PartEvent>,
+        queue: &mut VecDeque<ReducerEvent>,
         outputs: &mut Vec<ProcessOutput>,
     ) {
         let call = match effect {
@@ -316,7 +321,7 @@
 
 fn roster_effect(
     effect: RosterEffect,
-    queue: &mut VecDeque<PartEvent>,
+    queue: &mut VecDeque<ReducerEvent>,
     outputs: &mut Vec<ProcessOutput>,
 ) {
     let output = match effect {
@@ -369,7 +374,7 @@
     ProcessOutput::Call(call, LocalTime::NEVER)
 }
 
-/// Makes an incarnation of a number.
+/// Returns the incarnation with a number.
 pub(crate) fn incarnation(number: u64) -> IncarnationId {
     IncarnationId::new(number)
 }
--- a/crates/clementinepond_measure/src/experiment/roster/service.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/service.rs
@@ -1,19 +1,19 @@
-//! What the platform does with a call that reaches it.
+//! Handles the calls that arrive at the simulated platform.
 
 use super::platform::ObjectKind;
-use super::process::{PartEvent, PlatformCall, table_stored, watched};
+use super::process::{PlatformCall, ReducerEvent, table_stored, watched};
 use super::world::{World, centre_name};
 use clementinepond_decide::configuration::{ConfigurationEvent, WithdrawalRecord};
 use clementinepond_decide::port::StoreReply;
 use clementinepond_decide::roster::{ListedVm, RosterEvent, RosterTable, ShareTable, VmPresence};
 use clementinepond_types::{ObjectVersion, VmId};
 
-/// Name of each object of which there is one.
+/// Object name of each kind that has a single object for the fleet.
 const FLEET: &str = "fleet";
 
 impl World {
-    /// Carries out a call that reached the platform.
-    pub(super) fn arrive(&mut self, slot: usize, number: u64, call: PlatformCall) {
+    /// Handles a call that arrived at the platform.
+    pub(super) fn handle_call(&mut self, slot: usize, number: u64, call: PlatformCall) {
         self.platform.calls += 1;
         if !self.reaches_platform(slot) {
             let event = call.no_answer();
@@ -30,7 +30,7 @@
         self.answer(slot, number, &call, event);
     }
 
-    fn carry_out_call(&mut self, call: &PlatformCall) -> PartEvent {
+    fn carry_out_call(&mut self, call: &PlatformCall) -> ReducerEvent {
         match call.clone() {
             PlatformCall::ReadTable(name) => {
                 RosterEvent::TableRead(self.platform.read(&name)).into()
@@ -57,18 +57,18 @@
         }
     }
 
-    fn store_table(&mut self, version: ObjectVersion, table: RosterTable) -> PartEvent {
+    fn store_table(&mut self, version: ObjectVersion, table: RosterTable) -> ReducerEvent {
         let name = table.data_centre.clone();
         let nonce = table.nonce;
         let reply = self.platform.store(name.as_str(), version, table);
         if let StoreReply::Stored { .. } = reply {
-            self.note_table(name.as_str());
+            self.record_table(name.as_str());
             self.end_watches(ObjectKind::Roster);
         }
         table_stored(nonce, reply)
     }
 
-    fn note_table(&mut self, name: &str) {
+    fn record_table(&mut self, name: &str) {
         let Some(object) = self.platform.get::<RosterTable>(name) else {
             return;
         };
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    fn watch_event(&self, kind: ObjectKind, from: Option<ObjectVersion>) -> PartEvent {
+    fn watch_event(&self, kind: ObjectKind, from: Option<ObjectVersion>) -> ReducerEvent {
         match kind {
             ObjectKind::Configuration => watched::<Box<str>>(self.platform.changes(from)),
             ObjectKind::Withdrawals => watched::<WithdrawalRecord>(self.platform.changes(from)),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Ends a watch whose wait is over.
+    /// Answers a pending watch and removes it.
     pub(super) fn end_watch(&mut self, number: u64) {
         let Some(watch) = self.watches.remove(&number) else {
             return;
@@ -136,25 +136,25 @@
         }
     }
 
-    /// Begins or ends an outage of the platform.
-    pub(crate) fn set_outage(&mut self, is_away: bool) {
-        self.outage = is_away;
-        if is_away {
+    /// Starts or ends an outage of the platform.
+    pub(crate) fn set_outage(&mut self, is_unavailable: bool) {
+        self.outage = is_unavailable;
+        if is_unavailable {
             self.drop_watches();
         }
     }
 
-    /// Cuts a data centre off from the platform, or connects it again.
+    /// Cuts a data centre off from the platform, or reconnects it.
     pub(crate) fn set_platform_cut(&mut self, data_centre: usize, is_cut: bool) {
         if is_cut {
-            self.cut_platform.insert(data_centre);
+            self.cut_from_platform.insert(data_centre);
             self.drop_watches();
         } else {
-            self.cut_platform.remove(&data_centre);
+            self.cut_from_platform.remove(&data_centre);
         }
     }
 
-    /// Ends the watches whose VMs no longer reach the platform.
+    /// Ends the pending watches of VMs that can no longer reach the platform.
     fn drop_watches(&mut self) {
         let numbers: Vec<u64> = self
             .watches
--- a/crates/clementinepond_measure/src/experiment/roster/view.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/view.rs
@@ -1,4 +1,4 @@
-//! What an observer sees of a world.
+//! Queries on the simulated world.
 
 use super::process::VmProcess;
 use super::world::World;
@@ -7,9 +7,9 @@
 use clementinepond_types::{KeyDigest, ObjectVersion};
 
 impl World {
-    /// Returns whether the list may show running VMs as gone.
+    /// Returns whether the VM list may omit VMs that are still running.
     ///
-    /// The default contact rule assumes that it does not.
+    /// The default contact rule, `AfterPause`, assumes that it does not.
     pub(crate) fn shows_running_as_gone(&self) -> bool {
         self.plan.roster.contact_rule != ContactRule::AfterPause
     }
@@ -18,7 +18,7 @@
         self.processes.iter().flatten()
     }
 
-    /// Returns the slot of a data centre's relay.
+    /// Returns the first slot whose process is the relay of a data centre.
     pub(crate) fn relay_of(&self, data_centre: usize) -> Option<usize> {
         self.processes.iter().position(|place| {
             place.as_ref().is_some_and(|process| {
@@ -27,8 +27,9 @@
         })
     }
 
-    /// Counts the VMs of some data centres that have an older version in force.
-    pub(crate) fn lacking(
+    /// Counts the VMs in the selected data centres that have an older
+    /// configuration version in force.
+    pub(crate) fn count_outdated(
         &self,
         version: ObjectVersion,
         is_counted: &impl Fn(usize) -> bool,
@@ -40,17 +41,18 @@
     }
 
     /// Counts the VMs that accept a key.
-    pub(crate) fn accepting(&self, key: &KeyDigest) -> u64 {
+    pub(crate) fn count_accepting(&self, key: &KeyDigest) -> u64 {
         let accepting = self.running().filter(|process| process.accepts(key));
         accepting.count() as u64
     }
 
-    /// Counts how often an older version came into force.
+    /// Counts how often a running process put an older configuration version
+    /// in force.
     pub(crate) fn reverts(&self) -> u64 {
         self.running().map(|process| process.reverts).sum()
     }
 
-    /// Returns whether the platform's record holds a withdrawn key.
+    /// Returns whether the withdrawal record on the platform contains a key.
     pub(crate) fn is_recorded(&self, key: &KeyDigest) -> bool {
         self.platform
             .get::<WithdrawalRecord>("fleet")
--- a/crates/clementinepond_measure/src/experiment/roster/world/life.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/world/life.rs
@@ -1,4 +1,4 @@
-//! Starts, stops, pauses and cuts of VMs in the world.
+//! Starts, stops, pauses and isolates VMs of the simulated world.
 
 use super::{SECOND, World, WorldEvent, address, centre_name};
 use crate::experiment::roster::process::{SkewedClock, VmProcess, incarnation};
@@ -6,17 +6,17 @@
 use clementinepond_types::{DataCentreId, PartCount, VmId};
 
 impl World {
-    /// Starts a VM with a new name in a slot.
+    /// Starts a VM with a new name in a slot; the VM list shows it after a delay.
     pub(crate) fn start_new(&mut self, slot: usize) {
         let name = format!("vm-{slot}-{}", self.incarnations + 1);
         if let Ok(vm) = name.parse::<VmId>() {
-            let lag = self.below(self.plan.roster.list_lag.micros());
+            let lag = self.random_below(self.plan.roster.list_lag.micros());
             self.listed.insert(vm.clone(), (self.now + lag, u64::MAX));
             self.start(slot, vm);
         }
     }
 
-    /// Starts a process under a name in a slot.
+    /// Starts a process of a named VM in a slot.
     pub(crate) fn start(&mut self, slot: usize, vm: VmId) {
         let data_centre = self.data_centre(slot);
         let Ok(centre) = centre_name(data_centre).parse::<DataCentreId>() else {
@@ -27,8 +27,8 @@
         let mut settings = self.plan.roster.clone();
         settings.seeds = self.seeds(data_centre);
         let clock = SkewedClock {
-            offset: self.below(1_000 * SECOND),
-            rate_ppm: 999_500 + self.below(1_000),
+            offset: self.random_below(1_000 * SECOND),
+            rate_ppm: 999_500 + self.random_below(1_000),
         };
         let own = OwnIdentity {
             vm: vm.clone(),
@@ -44,8 +44,8 @@
         }
         let target = self.targets.get(data_centre).copied().unwrap_or(0);
         let event = RosterEvent::ShareTarget(PartCount::new(target));
-        self.reach(slot, event.into());
-        let first = self.now + self.below(self.plan.tick);
+        self.handle_event(slot, event.into());
+        let first = self.now + self.random_below(self.plan.tick);
         self.schedule(first, WorldEvent::Tick(slot, number));
     }
 
@@ -61,25 +61,29 @@
         .collect()
     }
 
-    /// Ends a process without warning; returns its VM.
+    /// Ends a process abruptly, and returns its VM.
     pub(crate) fn kill(&mut self, slot: usize) -> Option<VmId> {
         let process = self.processes.get_mut(slot)?.take()?;
         self.leaving.remove(&slot);
         self.names.remove(&process.vm);
-        self.ledger.note_end(&process.key(), self.now);
+        self.ledger.record_end(&process.key(), self.now);
         let ended = (process.data_centre, self.now);
         self.ended.insert(process.key(), ended);
         Some(process.vm)
     }
 
-    /// Ends a VM, which the list shows later.
+    /// Ends a VM abruptly; the VM list shows it for a while longer.
     pub(crate) fn remove(&mut self, slot: usize) {
         if let Some(vm) = self.kill(slot) {
-            let lag = self.below(self.plan.roster.list_lag.micros());
+            let lag = self.random_below(self.plan.roster.list_lag.micros());
             self.unlist(&vm, self.now + lag, u64::MAX);
         }
     }
 
+    /// Hides a VM from the list.
+    ///
+    /// With `until` at `u64::MAX`, the list omits it from `from` on. Otherwise
+    /// the list omits it at once and shows it again from `until` on.
     pub(super) fn unlist(&mut self, vm: &VmId, from: u64, until: u64) {
         if let Some(span) = self.listed.get_mut(vm) {
             *span = if until == u64::MAX {
@@ -90,14 +94,14 @@
         }
     }
 
-    /// Ends a process and starts another under its name.
+    /// Ends a process abruptly and starts another one of the same VM.
     pub(crate) fn restart(&mut self, slot: usize) {
         if let Some(vm) = self.kill(slot) {
             self.start(slot, vm);
         }
     }
 
-    /// Pauses a process; the list shows its VM as gone meanwhile.
+    /// Pauses a process; the list omits its VM until some time after the pause.
     pub(crate) fn pause(&mut self, slot: usize, span: u64) {
         let until = self.now + span;
         let Some(process) = self.processes.get_mut(slot).and_then(Option::as_mut) else {
@@ -105,35 +109,36 @@
         };
         process.paused_until = until;
         let vm = process.vm.clone();
-        let lag = self.below(self.plan.roster.list_lag.micros());
+        let lag = self.random_below(self.plan.roster.list_lag.micros());
         self.unlist(&vm, self.now, until + lag);
     }
 
-    /// Separates a VM that goes on running; the list shows it as gone.
-    pub(crate) fn separate(&mut self, slot: usize, span: u64) {
+    /// Cuts a VM off from the platform and all peers while it keeps running; the
+    /// list omits it for the given duration.
+    pub(crate) fn isolate(&mut self, slot: usize, span: u64) {
         let Some(process) = self.processes.get(slot).and_then(Option::as_ref) else {
             return;
         };
         let vm = process.vm.clone();
-        self.separated.insert(slot);
+        self.isolated.insert(slot);
         self.unlist(&vm, self.now, self.now + span);
     }
 
-    /// Begins a graceful shutdown.
+    /// Starts a graceful shutdown.
     pub(crate) fn shut_down(&mut self, slot: usize) {
         if self.processes.get(slot).is_some_and(Option::is_some) {
             self.leaving.insert(slot, self.now);
-            self.reach(slot, RosterEvent::ShutdownStarted.into());
+            self.handle_event(slot, RosterEvent::ShutdownStarted.into());
         }
     }
 
-    /// Changes the fleet shares that the configuration gives.
+    /// Sets the fleet shares of the data centres, and sends them to some slots.
     pub(crate) fn set_targets(&mut self, targets: Vec<u32>, slots: &[usize]) {
         self.targets = targets;
         for &slot in slots {
             let target = self.targets.get(self.data_centre(slot)).copied();
             let event = RosterEvent::ShareTarget(PartCount::new(target.unwrap_or(0)));
-            self.reach(slot, event.into());
+            self.handle_event(slot, event.into());
         }
     }
 }
--- a/crates/clementinepond_measure/src/experiment/roster/world/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/roster/world/mod.rs
@@ -1,11 +1,11 @@
-//! VM processes, their network and the platform, in virtual time.
+//! Simulated VM processes, their network and the platform, in virtual time.
 
 mod life;
 
 use super::ledger::UsageLedger;
-use super::platform::PlatformFake;
-use super::process::{PartEvent, PeerMessage, PlatformCall, ProcessOutput, VmProcess};
-use super::traffic::TrafficCount;
+use super::platform::FakePlatform;
+use super::process::{PeerMessage, PlatformCall, ProcessOutput, ReducerEvent, VmProcess};
+use super::traffic::TrafficCounter;
 use clementinepond_decide::configuration::{ConfigurationEvent, ConfigurationSettings};
 use clementinepond_decide::roster::{RosterEvent, RosterSettings, WHOLE_PARTS};
 use clementinepond_types::VmId;
@@ -17,48 +17,48 @@
 pub(crate) const SECOND: u64 = 1_000_000;
 /// Microseconds in a millisecond.
 pub(crate) const MILLISECOND: u64 = 1_000;
-/// Delay of a message within a data centre, in microseconds.
-const NEAR_DELAY: u64 = 500;
-/// Delay of a message between data centres, in microseconds.
-const FAR_DELAY: u64 = 1_500;
-/// Time to the platform and back, in microseconds.
-const PLATFORM_DELAY: u64 = 5 * MILLISECOND;
-/// Time after which a call without answer is given up, in microseconds.
-const CALL_LIMIT: u64 = 2 * SECOND;
-/// Longest wait of a watch, in microseconds.
-const WATCH_WAIT: u64 = 25 * SECOND;
-/// Number of a process that takes no answers.
+/// Base delay of a message within a data centre; up to as much is added at random.
+const LOCAL_DELAY_US: u64 = 500;
+/// Base delay of a message between data centres; up to as much is added at random.
+const REMOTE_DELAY_US: u64 = 1_500;
+/// Round-trip time of a platform call.
+const PLATFORM_ROUND_TRIP_US: u64 = 5 * MILLISECOND;
+/// Time after which the caller treats a call as unanswered.
+const CALL_TIMEOUT_US: u64 = 2 * SECOND;
+/// Time after which a watch without changes is answered.
+const WATCH_TIMEOUT_US: u64 = 25 * SECOND;
+/// Incarnation number that no process has, for calls whose answer is discarded.
 const NO_PROCESS: u64 = 0;
-/// Delay of a late message or late update, in microseconds.
-const LATE_DELAY: u64 = 4 * SECOND;
+/// Upper bound of the extra delay of a late message; twice as much for a late call.
+const MAX_EXTRA_DELAY_US: u64 = 4 * SECOND;
 
-/// Sizes, settings and chances of one run.
+/// Fleet size, settings and fault probabilities of one run.
 #[derive(Debug, Clone)]
 pub(crate) struct WorldPlan {
-    /// Seed of all chances.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
-    /// Data centres.
+    /// Number of data centres.
     pub(crate) data_centres: usize,
-    /// VMs over all data centres.
+    /// Number of VMs in all data centres.
     pub(crate) vms: usize,
-    /// Time between two ticks of a process, in microseconds.
+    /// Interval between the ticks of a process, in microseconds.
     pub(crate) tick: u64,
-    /// Messages lost, in thousandths.
+    /// Probability that a message is lost, in thousandths.
     pub(crate) lost: u32,
-    /// Messages doubled, in thousandths.
-    pub(crate) doubled: u32,
-    /// Messages and updates that arrive late, in thousandths.
+    /// Probability that a message is duplicated, in thousandths.
+    pub(crate) duplicated: u32,
+    /// Probability that a message or a platform call arrives late, in thousandths.
     pub(crate) late: u32,
-    /// Platform answers lost, in thousandths.
+    /// Probability that an answer of the platform is lost, in thousandths.
     pub(crate) answers_lost: u32,
-    /// Settings of the roster.
+    /// Settings of the roster reducer.
     pub(crate) roster: RosterSettings,
-    /// Settings of the configuration.
+    /// Settings of the configuration reducer.
     pub(crate) configuration: ConfigurationSettings,
 }
 
 impl WorldPlan {
-    /// Plans a run without chances.
+    /// Creates a plan without random faults and with default settings.
     pub(crate) fn quiet(seed: u64, data_centres: usize, vms: usize) -> Self {
         Self {
             seed,
@@ -66,7 +66,7 @@
             vms,
             tick: 250 * MILLISECOND,
             lost: 0,
-            doubled: 0,
+            duplicated: 0,
             late: 0,
             answers_lost: 0,
             roster: RosterSettings::default(),
@@ -74,32 +74,32 @@
         }
     }
 
-    /// Adds losses, doubles and delays.
-    pub(crate) fn with_chances(mut self) -> Self {
+    /// Adds lost, duplicated and late messages, and lost answers.
+    pub(crate) fn with_random_faults(mut self) -> Self {
         self.lost = 10;
-        self.doubled = 5;
+        self.duplicated = 5;
         self.late = 5;
         self.answers_lost = 50;
         self
     }
 }
 
-/// What happens at one moment.
+/// Scheduled event of the simulation; slots come with an incarnation number.
 #[derive(Debug)]
 pub(super) enum WorldEvent {
-    /// A process does its periodic work.
+    /// Periodic tick of a process.
     Tick(usize, u64),
-    /// Something reaches a process.
-    Reach(usize, u64, PartEvent),
-    /// A message reaches a VM.
-    Deliver(VmId, VmId, PeerMessage),
-    /// A call reaches the platform.
-    Arrive(usize, u64, PlatformCall),
-    /// A waiting watch ends.
+    /// A process receives a reducer event.
+    HandleEvent(usize, u64, ReducerEvent),
+    /// A message (sender, receiver, content) arrives at a VM.
+    DeliverMessage(VmId, VmId, PeerMessage),
+    /// A call arrives at the platform.
+    CallArrived(usize, u64, PlatformCall),
+    /// A pending watch, by number, times out.
     EndWatch(u64),
 }
 
-/// Watch that waits at the platform.
+/// Watch that is pending at the platform.
 #[derive(Debug)]
 pub(super) struct WaitingWatch {
     pub(super) slot: usize,
@@ -107,50 +107,51 @@
     pub(super) call: PlatformCall,
 }
 
-/// Everything that one run holds.
+/// State of one simulation run; times are in microseconds.
 #[derive(Debug)]
 pub(crate) struct World {
     pub(super) plan: WorldPlan,
-    /// True time.
+    /// Current true time.
     pub(crate) now: u64,
     pub(super) sequence: u64,
     pub(super) queue: BTreeMap<(u64, u64), WorldEvent>,
     pub(super) random: ChaCha8Rng,
-    /// The platform.
-    pub(crate) platform: PlatformFake,
+    /// Simulated platform.
+    pub(crate) platform: FakePlatform,
     pub(super) watches: BTreeMap<u64, WaitingWatch>,
-    /// Processes by slot; none while a slot is empty.
+    /// Processes by slot; `None` while a slot is empty.
     pub(crate) processes: Vec<Option<VmProcess>>,
     names: BTreeMap<VmId, usize>,
     incarnations: u64,
-    /// When the platform's list begins and ceases to show a VM.
+    /// Start and end of the time in which the platform's list shows a VM.
     pub(super) listed: BTreeMap<VmId, (u64, u64)>,
-    /// Whether the platform is away.
+    /// Whether the platform is unavailable.
     pub(crate) outage: bool,
     /// Data centres cut off from the platform.
-    pub(crate) cut_platform: BTreeSet<usize>,
-    /// Data centres cut off from the others.
-    pub(crate) cut_peers: BTreeSet<usize>,
-    /// VMs that run and reach nobody.
-    pub(crate) separated: BTreeSet<usize>,
-    /// Use of parts.
+    pub(crate) cut_from_platform: BTreeSet<usize>,
+    /// Data centres cut off from all other data centres.
+    pub(crate) cut_from_peers: BTreeSet<usize>,
+    /// Slots whose VM reaches neither the platform nor a peer.
+    pub(crate) isolated: BTreeSet<usize>,
+    /// Parts that the processes have in use.
     pub(crate) ledger: UsageLedger,
-    /// Bytes sent and received.
-    pub(crate) traffic: TrafficCount,
-    /// Fleet shares by data centre.
+    /// Bytes sent and received by each VM.
+    pub(crate) traffic: TrafficCounter,
+    /// Configured fleet shares, by data centre.
     pub(crate) targets: Vec<u32>,
-    /// When graceful shutdowns began, by slot.
+    /// Start times of the graceful shutdowns in progress, by slot.
     pub(super) leaving: BTreeMap<usize, u64>,
-    /// Times that graceful shutdowns took.
+    /// Durations of the completed graceful shutdowns.
     pub(crate) leave_times: Vec<u64>,
-    /// Ended processes whose entry is still in the table.
+    /// Data centre and end time of each ended process whose entry is still in
+    /// the roster table.
     pub(super) ended: BTreeMap<(VmId, u64), (usize, u64)>,
-    /// Times from an end to the entry's removal or takeover.
+    /// Times from the end of a process to the removal or takeover of its entry.
     pub(crate) recover_times: Vec<u64>,
 }
 
 impl World {
-    /// Starts all VMs at once.
+    /// Creates a world and starts all VMs at once.
     pub(crate) fn new(plan: WorldPlan) -> Self {
         let whole = WHOLE_PARTS / u32::try_from(plan.data_centres).unwrap_or(1);
         let loan = plan.roster.loan_span.micros();
@@ -159,18 +160,18 @@
             now: 0,
             sequence: 0,
             queue: BTreeMap::new(),
-            platform: PlatformFake::default(),
+            platform: FakePlatform::default(),
             watches: BTreeMap::new(),
             processes: Vec::new(),
             names: BTreeMap::new(),
             incarnations: 0,
             listed: BTreeMap::new(),
             outage: false,
-            cut_platform: BTreeSet::new(),
-            cut_peers: BTreeSet::new(),
-            separated: BTreeSet::new(),
+            cut_from_platform: BTreeSet::new(),
+            cut_from_peers: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             ledger: UsageLedger::new(loan),
-            traffic: TrafficCount::new(plan.vms),
+            traffic: TrafficCounter::new(plan.vms),
             targets: vec![whole; plan.data_centres],
             leaving: BTreeMap::new(),
             leave_times: Vec::new(),
@@ -185,8 +186,8 @@
         world
     }
 
-    /// Returns a random number below a bound.
-    pub(crate) fn below(&mut self, bound: u64) -> u64 {
+    /// Returns a random number below a bound; a bound of 0 counts as 1.
+    pub(crate) fn random_below(&mut self, bound: u64) -> u64 {
         self.random.random_range(0..bound.max(1))
     }
 
@@ -204,7 +205,7 @@
         slot % self.plan.data_centres
     }
 
-    /// Runs until a true time.
+    /// Runs the simulation until a true time.
     pub(crate) fn run_until(&mut self, end: u64) {
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > end {
@@ -220,18 +221,18 @@
     fn step(&mut self, event: WorldEvent) {
         match event {
             WorldEvent::Tick(slot, number) => self.tick(slot, number),
-            WorldEvent::Reach(slot, number, event) => {
+            WorldEvent::HandleEvent(slot, number, event) => {
                 if self.is_running(slot, number) {
-                    self.reach(slot, event);
+                    self.handle_event(slot, event);
                 }
             }
-            WorldEvent::Deliver(from, to, message) => self.deliver(&from, &to, message),
-            WorldEvent::Arrive(slot, number, call) => self.arrive(slot, number, call),
+            WorldEvent::DeliverMessage(from, to, message) => self.deliver(&from, &to, message),
+            WorldEvent::CallArrived(slot, number, call) => self.handle_call(slot, number, call),
             WorldEvent::EndWatch(number) => self.end_watch(number),
         }
     }
 
-    /// Returns whether a process of this number is in the slot.
+    /// Returns whether the process in a slot has the incarnation number.
     pub(super) fn is_running(&self, slot: usize, number: u64) -> bool {
         let process = self.processes.get(slot).and_then(Option::as_ref);
         process.is_some_and(|process| process.incarnation == number)
@@ -245,8 +246,8 @@
         let next = (self.now + self.plan.tick).max(paused);
         self.schedule(next, WorldEvent::Tick(slot, number));
         if paused <= self.now {
-            self.reach(slot, RosterEvent::Tick.into());
-            self.reach(slot, ConfigurationEvent::Tick.into());
+            self.handle_event(slot, RosterEvent::Tick.into());
+            self.handle_event(slot, ConfigurationEvent::Tick.into());
         }
     }
 
@@ -255,15 +256,15 @@
         process.map_or(0, |process| process.paused_until)
     }
 
-    /// Gives an event to a process, after its pause if it is paused.
-    pub(crate) fn reach(&mut self, slot: usize, event: PartEvent) {
+    /// Passes an event to a process, at the end of its pause if it is paused.
+    pub(crate) fn handle_event(&mut self, slot: usize, event: ReducerEvent) {
         let now = self.now;
         let Some(process) = self.processes.get_mut(slot).and_then(Option::as_mut) else {
             return;
         };
         if process.paused_until > now {
             let (until, number) = (process.paused_until, process.incarnation);
-            self.schedule(until, WorldEvent::Reach(slot, number, event));
+            self.schedule(until, WorldEvent::HandleEvent(slot, number, event));
             return;
         }
         for output in process.handle(event, now) {
@@ -280,7 +281,7 @@
                 }
             }
             ProcessOutput::Call(call, deadline) => self.call(slot, call, deadline),
-            ProcessOutput::Use(usable) => self.note_use(slot, &usable),
+            ProcessOutput::Use(usable) => self.record_use(slot, &usable),
             ProcessOutput::Released => self.finish_leaving(slot),
         }
     }
@@ -303,7 +304,7 @@
         }
     }
 
-    fn note_use(&mut self, slot: usize, usable: &clementinepond_decide::roster::UsableParts) {
+    fn record_use(&mut self, slot: usize, usable: &clementinepond_decide::roster::UsableParts) {
         let now = self.now;
         let Some(process) = self.processes.get(slot).and_then(Option::as_ref) else {
             return;
@@ -314,12 +315,12 @@
         let data_centre = process.data_centre;
         let until = self
             .ledger
-            .note_use(&key, data_centre, level, deadline, now);
+            .record_use(&key, data_centre, level, deadline, now);
         let event = RosterEvent::PartsStopped {
             change: usable.change,
         };
         let stopped = until.unwrap_or(now) + MILLISECOND;
-        self.schedule(stopped, WorldEvent::Reach(slot, number, event.into()));
+        self.schedule(stopped, WorldEvent::HandleEvent(slot, number, event.into()));
     }
 
     fn send(&mut self, slot: usize, to: &VmId, message: PeerMessage) {
@@ -328,33 +329,37 @@
         };
         let from = process.vm.clone();
         let receiver = self.names.get(to).copied();
-        self.traffic.note(slot, receiver, &message);
+        self.traffic.record(slot, receiver, &message);
         let Some(receiver) = receiver else {
             return;
         };
         let (near, far) = (self.data_centre(slot), self.data_centre(receiver));
-        let is_cut =
-            near != far && (self.cut_peers.contains(&near) || self.cut_peers.contains(&far));
-        let is_cut = is_cut || self.separated.contains(&slot) || self.separated.contains(&receiver);
+        let is_cut = near != far
+            && (self.cut_from_peers.contains(&near) || self.cut_from_peers.contains(&far));
+        let is_cut = is_cut || self.isolated.contains(&slot) || self.isolated.contains(&receiver);
         if is_cut || self.chance(self.plan.lost) {
             return;
         }
-        let copies = 1 + usize::from(self.chance(self.plan.doubled));
+        let copies = 1 + usize::from(self.chance(self.plan.duplicated));
         for _ in 0..copies {
             let delay = self.delay(near == far);
-            let event = WorldEvent::Deliver(from.clone(), to.clone(), message.clone());
+            let event = WorldEvent::DeliverMessage(from.clone(), to.clone(), message.clone());
             self.schedule(self.now + delay, event);
         }
     }
 
     fn delay(&mut self, is_near: bool) -> u64 {
-        let base = if is_near { NEAR_DELAY } else { FAR_DELAY };
+        let base = if is_near {
+            LOCAL_DELAY_US
+        } else {
+            REMOTE_DELAY_US
+        };
         let late = if self.chance(self.plan.late) {
-            self.below(LATE_DELAY)
+            self.random_below(MAX_EXTRA_DELAY_US)
         } else {
             0
         };
-        base + self.below(base) + late
+        base + self.random_below(base) + late
     }
 
     fn deliver(&mut self, from: &VmId, to: &VmId, message: PeerMessage) {
@@ -368,7 +373,7 @@
                 ConfigurationEvent::Received { from, message }.into()
             }
         };
-        self.reach(slot, event);
+        self.handle_event(slot, event);
     }
 
     fn call(&mut self, slot: usize, call: PlatformCall, deadline: clementinepond_types::LocalTime) {
@@ -381,45 +386,48 @@
             return;
         }
         let late = if self.chance(self.plan.late) {
-            self.below(2 * LATE_DELAY)
+            self.random_below(2 * MAX_EXTRA_DELAY_US)
         } else {
             0
         };
-        let arrives = now + PLATFORM_DELAY / 2 + late;
-        if late < CALL_LIMIT {
-            self.schedule(arrives, WorldEvent::Arrive(slot, number, call));
+        let arrives = now + PLATFORM_ROUND_TRIP_US / 2 + late;
+        if late < CALL_TIMEOUT_US {
+            self.schedule(arrives, WorldEvent::CallArrived(slot, number, call));
             return;
         }
-        // The caller gives up before the call takes effect.
-        let event = WorldEvent::Reach(slot, number, call.no_answer());
-        self.schedule(now + CALL_LIMIT, event);
-        self.schedule(arrives, WorldEvent::Arrive(slot, NO_PROCESS, call));
+        // The call takes effect after the caller has timed out.
+        let event = WorldEvent::HandleEvent(slot, number, call.no_answer());
+        self.schedule(now + CALL_TIMEOUT_US, event);
+        self.schedule(arrives, WorldEvent::CallArrived(slot, NO_PROCESS, call));
     }
 
-    /// Returns whether a data centre reaches the platform.
+    /// Returns whether the VM in a slot can reach the platform.
     pub(crate) fn reaches_platform(&self, slot: usize) -> bool {
-        let is_cut = self.cut_platform.contains(&self.data_centre(slot));
-        !self.outage && !is_cut && !self.separated.contains(&slot)
+        let is_cut = self.cut_from_platform.contains(&self.data_centre(slot));
+        !self.outage && !is_cut && !self.isolated.contains(&slot)
     }
 
-    /// Sends an answer of the platform, which may be lost.
+    /// Sends an answer of the platform, which may get lost.
     pub(super) fn answer(
         &mut self,
         slot: usize,
         number: u64,
         call: &PlatformCall,
-        event: PartEvent,
+        event: ReducerEvent,
     ) {
         let is_lost = self.chance(self.plan.answers_lost) || !self.reaches_platform(slot);
         let (event, delay) = if is_lost {
-            (call.no_answer(), CALL_LIMIT)
+            (call.no_answer(), CALL_TIMEOUT_US)
         } else {
-            (event, PLATFORM_DELAY / 2)
+            (event, PLATFORM_ROUND_TRIP_US / 2)
         };
-        self.schedule(self.now + delay, WorldEvent::Reach(slot, number, event));
+        self.schedule(
+            self.now + delay,
+            WorldEvent::HandleEvent(slot, number, event),
+        );
     }
 
-    /// Lets a watch wait at the platform.
+    /// Holds a watch at the platform until a change or the timeout.
     pub(super) fn wait(&mut self, slot: usize, incarnation: u64, call: PlatformCall) {
         self.sequence += 1;
         let number = self.sequence;
@@ -429,7 +437,7 @@
             call,
         };
         self.watches.insert(number, watch);
-        self.schedule(self.now + WATCH_WAIT, WorldEvent::EndWatch(number));
+        self.schedule(self.now + WATCH_TIMEOUT_US, WorldEvent::EndWatch(number));
     }
 }
 
--- a/crates/clementinepond_measure/tests/roster.rs
+++ b/crates/clementinepond_measure/tests/roster.rs
@@ -1,25 +1,25 @@
-//! Short runs of the roster experiment, and runs with one guard off.
+//! Short runs of the roster experiment, with all safety rules and with one disabled.
 
 use clementinepond_decide::roster::{ContactRule, RosterMutation, RosterSettings};
 use clementinepond_measure::ExperimentReport;
-use clementinepond_measure::experiment::roster::{ChaosLength, RosterLengths, run_with};
+use clementinepond_measure::experiment::roster::{ChaosRun, RosterLengths, run_with};
 
 const SHORT: RosterLengths = RosterLengths {
-    chaos: &[ChaosLength {
+    chaos: &[ChaosRun {
         vms: 6,
-        gap: 12,
+        mean_fault_gap: 12,
         length: 600,
     }],
     steady: 20,
     largest: 8,
 };
 
-fn breaches(report: &ExperimentReport) -> u64 {
+fn violation_count(report: &ExperimentReport) -> u64 {
     report.violations.values().sum()
 }
 
 #[test]
-fn a_short_run_is_sound_and_repeatable() {
+fn short_run_has_no_violations_and_is_deterministic() {
     for seed in 1..=3 {
         let settings = RosterSettings::default();
         let report = run_with(seed, SHORT, &settings);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_stricter_contact_rules_are_sound() {
+fn stricter_contact_rules_have_no_violations() {
     for contact_rule in [ContactRule::AnyPeer, ContactRule::Majority] {
         let settings = RosterSettings {
             contact_rule,
@@ -45,17 +45,17 @@
 }
 
 #[test]
-fn each_guard_is_needed() {
+fn disabling_any_safety_rule_causes_violations() {
     const RUN: RosterLengths = RosterLengths {
-        chaos: &[ChaosLength {
+        chaos: &[ChaosRun {
             vms: 6,
-            gap: 12,
+            mean_fault_gap: 12,
             length: 900,
         }],
         steady: 1,
         largest: 0,
     };
-    let guards = [
+    let mutations = [
         RosterMutation::ReleaseBeforeStop,
         RosterMutation::RemoveWithoutHoldOff,
         RosterMutation::RemoveDespiteHeartbeat,
@@ -63,15 +63,15 @@
         RosterMutation::JoinWithoutHoldOff,
         RosterMutation::ShareBeforeStop,
     ];
-    for guard in guards {
+    for mutation in mutations {
         let settings = RosterSettings {
-            mutation: guard,
+            mutation,
             ..RosterSettings::default()
         };
-        let found = (1..=10).any(|seed| breaches(&run_with(seed, RUN, &settings)) > 0);
+        let found = (1..=10).any(|seed| violation_count(&run_with(seed, RUN, &settings)) > 0);
         assert!(
             found,
-            "no breach without the guard that {guard:?} takes away"
+            "no violation in seeds 1 to 10 with mutation {mutation:?}; expected at least one"
         );
     }
 }
