--- a/crates/clementinepond_measure/src/experiment/crash/scenario.rs
+++ b/crates/clementinepond_measure/src/experiment/crash/scenario.rs
@@ -1,32 +1,34 @@
-//! Policies and sizes of one run.
+//! Guard policies and parameters of one run.
 
 use clementinepond_decide::crash::{CrashMutation, CrashSettings, CrashSharing};
 use clementinepond_types::TimeSpan;
 
-/// Weight of losses that refuses a request, in thousandths of a bit.
+/// Evidence at which the likelihood policy refuses a request, in thousandths of a bit.
 const LIKELIHOOD_THRESHOLD: u64 = 20_000;
-/// Crash interval that the likelihood ratio assumes, as in the scenario.
+/// Crash interval that the likelihood ratio assumes; equals `crash_every_ms` of the scenario.
 const LIKELIHOOD_INTERVAL: TimeSpan = TimeSpan::from_secs(300);
 
-/// Ways of guarding that are compared.
+/// Guard policy to compare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GuardPolicy {
-    /// No guard.
+    /// Never refuses a request.
     Unguarded,
-    /// Two losses, counted by each VM alone.
-    CountAlone,
-    /// Two losses, counted by all VMs together.
+    /// Refuses after 2 losses, counted by each VM on its own.
+    CountLocal,
+    /// Refuses after 2 losses, counted by all VMs together.
     CountShared,
-    /// Suspects run apart; each VM decides with the knowledge of all.
-    ApartBroadcast,
-    /// Suspects run apart by permit of one arbiter.
-    ApartArbiter,
-    /// The same, and the likelihood ratio has to pass a threshold.
+    /// Runs suspect requests separately; each VM decides with the losses that
+    /// all VMs broadcast.
+    SeparateBroadcast,
+    /// Runs suspect requests separately, with a permit of one arbiter.
+    SeparateArbiter,
+    /// Like `SeparateArbiter`, but a refusal also requires the likelihood ratio
+    /// to reach a threshold.
     Likelihood,
 }
 
 impl GuardPolicy {
-    /// Returns the settings of the decision code.
+    /// Returns the crash guard settings of the policy.
     #[must_use]
     pub fn settings(self) -> CrashSettings {
         let default = CrashSettings::default();
@@ -37,7 +39,7 @@
                 loss_limit: usize::MAX,
                 ..default
             },
-            Self::CountAlone => CrashSettings {
+            Self::CountLocal => CrashSettings {
                 sharing: CrashSharing::Isolated,
                 separate: false,
                 ..default
@@ -47,12 +49,12 @@
                 separate: false,
                 ..default
             },
-            Self::ApartBroadcast => CrashSettings {
+            Self::SeparateBroadcast => CrashSettings {
                 sharing: CrashSharing::Broadcast,
                 evidence_threshold: 0,
                 ..default
             },
-            Self::ApartArbiter => CrashSettings {
+            Self::SeparateArbiter => CrashSettings {
                 evidence_threshold: 0,
                 ..default
             },
@@ -65,35 +67,40 @@
     }
 }
 
-/// One run of the experiment.
+/// Parameters of one run.
 #[derive(Debug, Clone)]
 pub struct CrashScenario {
-    /// Seed of everything random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Length of the run.
+    /// Simulated length of the run.
     pub length: TimeSpan,
-    /// Innocent requests a second.
+    /// Mean rate of innocent requests, per second.
     pub requests_per_second: u64,
-    /// Mean time between own crashes of a sound endpoint, in milliseconds.
+    /// Mean time between spontaneous crashes of a regular endpoint, in
+    /// milliseconds; 0 for none.
     pub crash_every_ms: u64,
-    /// Mean time between own crashes of the flaky endpoint, in milliseconds.
+    /// Mean time between spontaneous crashes of the flaky endpoint, in
+    /// milliseconds; 0 for none.
     pub flaky_every_ms: u64,
-    /// Mean time between broken connections, in milliseconds.
+    /// Mean time between broken connections, in milliseconds; 0 for none.
     pub break_every_ms: u64,
-    /// Mean time between cuts of a data centre, in milliseconds; zero for none.
+    /// Mean time from the end of one data centre cut to the next, in
+    /// milliseconds; 0 for none.
     pub cut_every_ms: u64,
-    /// Time between two poison requests, in milliseconds; zero for none.
+    /// Interval between poison requests, in milliseconds; 0 for none.
     pub poison_every_ms: u64,
-    /// Copies of a poison request that its caller sends at the same moment.
+    /// Number of concurrent series in which a poison request is sent; they
+    /// divide its 20 sends among them, rounded down.
     pub poison_copies: u32,
-    /// Messages lost, in thousandths.
+    /// Probability that a message is lost, in thousandths.
     pub lost_messages: u32,
-    /// Settings of the decision code.
+    /// Settings of the crash guard.
     pub settings: CrashSettings,
 }
 
 impl CrashScenario {
-    /// Poison requests beside heavy load and endpoints that crash by themselves.
+    /// Returns a scenario with poison requests, heavy innocent load and
+    /// endpoints that crash spontaneously.
     #[must_use]
     pub fn poisoned(seed: u64, policy: GuardPolicy, length: TimeSpan) -> Self {
         Self {
@@ -111,14 +118,14 @@
         }
     }
 
-    /// The same run with data centres that lose each other.
+    /// Adds data centres that are cut off from the others for a while.
     #[must_use]
     pub fn cut(mut self) -> Self {
         self.cut_every_ms = 30_000;
         self
     }
 
-    /// The same run with one guard off.
+    /// Sets a mutation that disables one rule of the crash guard.
     #[must_use]
     pub fn mutated(mut self, mutation: CrashMutation) -> Self {
         self.settings.mutation = mutation;
--- a/crates/clementinepond_measure/src/experiment/crash/tally.rs
+++ b/crates/clementinepond_measure/src/experiment/crash/tally.rs
@@ -1,45 +1,47 @@
-//! What happened to endpoints and requests.
+//! Counts of endpoint crashes and request outcomes.
 
 use std::collections::BTreeMap;
 
-/// Counts of one run.
+/// Results of one run.
 #[derive(Debug, Default)]
 pub struct CrashTally {
-    /// Endpoints that each poison request took.
+    /// Number of endpoints that each poison request crashed, by request number.
     pub lost_by_poison: BTreeMap<u64, u64>,
-    /// Copies of poison requests that reached a VM.
+    /// Number of times that a poison request was sent to a VM.
     pub poison_sends: u64,
-    /// Endpoints that crashed by themselves.
+    /// Number of spontaneous endpoint crashes.
     pub own_crashes: u64,
-    /// Innocent requests that ended.
+    /// Innocent requests that ended, whatever the outcome.
     pub innocents: u64,
     /// Innocent requests refused as poison.
     pub innocents_refused: u64,
-    /// Innocent requests given up while they waited for an endpoint of their own.
-    pub innocents_crowded: u64,
-    /// Innocent requests whose every run was cut off.
+    /// Innocent requests refused as crowded while they waited to run alone on
+    /// an endpoint.
+    pub innocents_overloaded: u64,
+    /// Innocent requests that failed because they ran out of attempts or time.
     pub innocents_failed: u64,
-    /// Innocent requests whose bodies were condemned.
-    pub innocents_condemned: u64,
-    /// Requests without an end.
-    pub requests_without_end: u64,
-    /// Waits of suspects for a permit, in microseconds.
+    /// Distinct bodies of innocent requests that got a verdict.
+    pub innocents_blocked: u64,
+    /// Requests that had not ended although their deadline had passed.
+    pub requests_unfinished: u64,
+    /// Times from a run request that had to wait to its admission, in
+    /// microseconds.
     pub waits: Vec<u64>,
-    /// Messages between VMs.
+    /// Number of messages that VMs sent to each other, including lost ones.
     pub messages: u64,
 }
 
 impl CrashTally {
-    /// Returns the most endpoints that one poison request took.
+    /// Returns the largest number of endpoints that one poison request crashed.
     #[must_use]
-    pub fn worst_poison(&self) -> u64 {
+    pub fn max_endpoints_lost(&self) -> u64 {
         self.lost_by_poison.values().copied().max().unwrap_or(0)
     }
 
-    /// Returns the mean number of endpoints that a poison request took.
+    /// Returns the mean number of endpoints that a poison request crashed.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-    pub fn mean_poison(&self) -> f64 {
+    pub fn mean_endpoints_lost(&self) -> f64 {
         let lost: u64 = self.lost_by_poison.values().sum();
         lost as f64 / self.lost_by_poison.len().max(1) as f64
     }
@@ -51,14 +53,15 @@
         count as f64 / self.innocents.max(1) as f64
     }
 
-    /// Returns a quantile of the suspects' waits, in milliseconds.
+    /// Returns a percentile of the waits of suspect requests, in milliseconds;
+    /// 0 if there were none.
     #[must_use]
     pub fn wait_ms(&self, percent: usize) -> f64 {
         let mut waits = self.waits.clone();
         waits.sort_unstable();
-        let place = waits.len().saturating_sub(1) * percent / 100;
+        let index = waits.len().saturating_sub(1) * percent / 100;
         #[expect(clippy::cast_precision_loss, reason = "waits are below an hour")]
-        let wait = waits.get(place).map_or(0.0, |&wait| wait as f64 / 1_000.0);
+        let wait = waits.get(index).map_or(0.0, |&wait| wait as f64 / 1_000.0);
         wait
     }
 }
--- a/crates/clementinepond_measure/src/experiment/crash/world.rs
+++ b/crates/clementinepond_measure/src/experiment/crash/world.rs
@@ -1,4 +1,4 @@
-//! VMs, endpoints and callers in virtual time.
+//! Simulated VMs, endpoints and callers, in virtual time.
 
 use super::scenario::CrashScenario;
 use super::tally::CrashTally;
@@ -12,69 +12,70 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// VMs in each data centre.
+/// Number of VMs in each data centre.
 const VMS_PER_CENTRE: [usize; 3] = [3, 3, 2];
-/// Endpoints, spread over the data centres in turn.
+/// Number of endpoints, spread over the data centres round-robin.
 pub(super) const ENDPOINTS: usize = 12;
-/// Models, each on every third endpoint.
+/// Number of models; endpoint `n` serves model `n % MODELS`.
 pub(super) const MODELS: u64 = 3;
 /// Microseconds in one millisecond.
 pub(super) const MS: u64 = 1_000;
-/// Time between two ticks of a VM, in microseconds.
-const TICK: u64 = 20 * MS;
-/// Time between two reports that a VM asks an endpoint for, in microseconds.
-const REPORT_INTERVAL: u64 = 250 * MS;
+/// Interval between the ticks of a VM.
+const TICK_INTERVAL_US: u64 = 20 * MS;
+/// Interval at which a VM requests reports from all endpoints.
+const REPORT_INTERVAL_US: u64 = 250 * MS;
 
-/// Something that happens at a moment.
+/// Scheduled event of the simulation.
 #[derive(Debug)]
 pub(super) enum WorldEvent {
     Tick(usize),
     Guard { vm: usize, event: CrashEvent },
     Poll { vm: usize },
-    Innocent,
-    Poison,
-    PoisonSend { number: u64, sends: u32 },
+    InnocentArrives,
+    PoisonArrives,
+    SendPoison { number: u64, sends: u32 },
     Attempt { request: u64 },
     RunEnds { vm: usize, ticket: u64 },
     PoisonCrash { vm: usize, ticket: u64 },
     OwnCrash(usize),
-    EndpointBack(usize),
-    StreamBreaks { vm: usize, ticket: u64 },
+    EndpointRestarted(usize),
+    StreamBroken { vm: usize, ticket: u64 },
     ConnectionsBreak,
     CutStarts,
     CutEnds,
 }
 
-/// One endpoint.
+/// Simulated endpoint.
 #[derive(Debug)]
-pub(super) struct FakeEndpoint {
+pub(super) struct SimulatedEndpoint {
     pub(super) name: EndpointId,
     pub(super) centre: usize,
     pub(super) incarnation: u64,
     pub(super) is_up: bool,
 }
 
-/// What one VM knows of an endpoint.
+/// State of an endpoint as last seen by one VM.
 #[derive(Debug, Clone)]
 pub(super) struct EndpointView {
     pub(super) incarnation: u64,
     pub(super) is_usable: bool,
     pub(super) missing_since: Option<u64>,
-    pub(super) is_reported_lost: bool,
+    pub(super) is_reported_unreachable: bool,
 }
 
-/// One VM.
+/// Simulated VM with its crash guard state.
 #[derive(Debug)]
-pub(super) struct FakeVm {
+pub(super) struct SimulatedVm {
     pub(super) name: VmId,
     pub(super) centre: usize,
     pub(super) state: CrashState,
     pub(super) views: Vec<EndpointView>,
 }
 
-/// One request at the VM that received it.
+/// Request at the VM that received it; `poison` is the number of the poison
+/// request that it repeats, if any.
 #[derive(Debug)]
-pub(super) struct FakeRequest {
+pub(super) struct SimulatedRequest {
     pub(super) vm: usize,
     pub(super) body: u64,
     pub(super) poison: Option<u64>,
@@ -85,45 +86,47 @@
     pub(super) is_ended: bool,
 }
 
-/// One run of a request.
+/// Run of a request; `place` is the index and incarnation of its endpoint once
+/// it is dispatched.
 #[derive(Debug)]
-pub(super) struct FakeRun {
+pub(super) struct SimulatedRun {
     pub(super) request: u64,
-    pub(super) asked_at: u64,
+    pub(super) requested_at: u64,
     pub(super) has_waited: bool,
     pub(super) place: Option<(usize, u64)>,
 }
 
-/// Everything in one run.
+/// State of one simulation run; times are in microseconds.
 pub(super) struct CrashWorld {
     pub(super) scenario: CrashScenario,
     pub(super) random: ChaCha8Rng,
     pub(super) queue: EventQueue<WorldEvent>,
-    pub(super) vms: Vec<FakeVm>,
-    pub(super) endpoints: Vec<FakeEndpoint>,
-    pub(super) requests: BTreeMap<u64, FakeRequest>,
-    pub(super) runs: BTreeMap<u64, FakeRun>,
+    pub(super) vms: Vec<SimulatedVm>,
+    pub(super) endpoints: Vec<SimulatedEndpoint>,
+    pub(super) requests: BTreeMap<u64, SimulatedRequest>,
+    pub(super) runs: BTreeMap<u64, SimulatedRun>,
     pub(super) next_number: u64,
     pub(super) cut: Option<usize>,
-    pub(super) condemned: BTreeSet<u64>,
+    pub(super) blocked_bodies: BTreeSet<u64>,
     pub(super) innocent_bodies: BTreeMap<RequestFingerprint, u64>,
     pub(super) tally: CrashTally,
 }
 
 impl CrashWorld {
     pub(super) fn new(scenario: CrashScenario) -> Self {
-        let endpoints: Vec<FakeEndpoint> = (0..ENDPOINTS).filter_map(fake_endpoint).collect();
+        let endpoints: Vec<SimulatedEndpoint> =
+            (0..ENDPOINTS).filter_map(simulated_endpoint).collect();
         let view = EndpointView {
             incarnation: 1,
             is_usable: true,
             missing_since: None,
-            is_reported_lost: false,
+            is_reported_unreachable: false,
         };
         let mut vms = Vec::new();
         for (centre, count) in VMS_PER_CENTRE.into_iter().enumerate() {
             for _ in 0..count {
                 if let Ok(name) = format!("vm-{}", vms.len()).parse::<VmId>() {
-                    vms.push(FakeVm {
+                    vms.push(SimulatedVm {
                         state: CrashState::new(scenario.settings.clone(), name.clone()),
                         name,
                         centre,
@@ -141,14 +144,14 @@
             runs: BTreeMap::new(),
             next_number: 1,
             cut: None,
-            condemned: BTreeSet::new(),
+            blocked_bodies: BTreeSet::new(),
             innocent_bodies: BTreeMap::new(),
             tally: CrashTally::default(),
             scenario,
         }
     }
 
-    /// Runs to the end and returns what happened.
+    /// Runs the simulation to its end and returns the results.
     pub(super) fn run(mut self) -> CrashTally {
         let end = self.scenario.length.micros();
         self.start();
@@ -158,9 +161,9 @@
             }
             self.step(at, event);
         }
-        let is_overdue = |request: &&FakeRequest| !request.is_ended && request.deadline < end;
+        let is_overdue = |request: &&SimulatedRequest| !request.is_ended && request.deadline < end;
         let overdue = self.requests.values().filter(is_overdue).count();
-        self.tally.requests_without_end = overdue as u64;
+        self.tally.requests_unfinished = overdue as u64;
         self.tally
     }
 
@@ -184,9 +187,9 @@
             self.queue.push(vm as u64 * MS, WorldEvent::Tick(vm));
             self.queue.push(vm as u64 * 7 * MS, WorldEvent::Poll { vm });
         }
-        self.queue.push(500 * MS, WorldEvent::Innocent);
+        self.queue.push(500 * MS, WorldEvent::InnocentArrives);
         if self.scenario.poison_every_ms > 0 {
-            self.queue.push(5_000 * MS, WorldEvent::Poison);
+            self.queue.push(5_000 * MS, WorldEvent::PoisonArrives);
         }
         for endpoint in 0..self.endpoints.len() {
             self.next_own_crash(endpoint, 0);
@@ -209,29 +212,29 @@
     fn step(&mut self, at: u64, event: WorldEvent) {
         match event {
             WorldEvent::Tick(vm) => {
-                self.queue.push(at + TICK, WorldEvent::Tick(vm));
+                self.queue.push(at + TICK_INTERVAL_US, WorldEvent::Tick(vm));
                 self.apply(vm, CrashEvent::Tick, at);
             }
             WorldEvent::Guard { vm, event } => self.apply(vm, event, at),
             WorldEvent::Poll { vm } => {
                 self.queue
-                    .push(at + REPORT_INTERVAL, WorldEvent::Poll { vm });
+                    .push(at + REPORT_INTERVAL_US, WorldEvent::Poll { vm });
                 self.poll(vm, at);
             }
-            WorldEvent::Innocent => self.innocent(at),
-            WorldEvent::Poison => self.poison(at),
-            WorldEvent::PoisonSend { number, sends } => self.poison_send(number, sends, at),
+            WorldEvent::InnocentArrives => self.innocent(at),
+            WorldEvent::PoisonArrives => self.poison(at),
+            WorldEvent::SendPoison { number, sends } => self.poison_send(number, sends, at),
             WorldEvent::Attempt { request } => self.attempt(request, at),
-            WorldEvent::RunEnds { vm, ticket } => self.run_ends(vm, ticket, at),
+            WorldEvent::RunEnds { vm, ticket } => self.complete_run(vm, ticket, at),
             WorldEvent::PoisonCrash { vm, ticket } => self.poison_crash(vm, ticket, at),
             WorldEvent::OwnCrash(endpoint) => self.own_crash(endpoint, at),
-            WorldEvent::EndpointBack(endpoint) => {
+            WorldEvent::EndpointRestarted(endpoint) => {
                 self.endpoints[endpoint].is_up = true;
                 self.endpoints[endpoint].incarnation += 1;
             }
-            WorldEvent::StreamBreaks { vm, ticket } => self.stream_breaks(vm, ticket, at),
-            WorldEvent::ConnectionsBreak => self.connections_break(at),
-            WorldEvent::CutStarts => self.cut_starts(at),
+            WorldEvent::StreamBroken { vm, ticket } => self.break_stream(vm, ticket, at),
+            WorldEvent::ConnectionsBreak => self.break_connections(at),
+            WorldEvent::CutStarts => self.start_cut(at),
             WorldEvent::CutEnds => {
                 self.cut = None;
                 self.next(self.scenario.cut_every_ms, at, WorldEvent::CutStarts);
@@ -251,7 +254,7 @@
         match effect {
             CrashEffect::Send { to, message } => self.send(vm, &to, message, at),
             CrashEffect::Pass { ticket, avoid } => {
-                let place = self.place_outside(vm, ticket, &avoid);
+                let place = self.choose_endpoint(vm, ticket, &avoid);
                 self.dispatch(vm, ticket, place, at);
             }
             CrashEffect::RunAlone { ticket, endpoint } => {
@@ -264,8 +267,11 @@
                 }
             }
             CrashEffect::Refused { ticket, reason, .. } => self.refused(ticket, reason),
-            CrashEffect::VerdictChanged { fingerprint, .. } => self.condemned(fingerprint),
-            // Verdicts on the platform matter to VMs that start later.
+            CrashEffect::VerdictChanged { fingerprint, .. } => {
+                self.record_blocked_body(fingerprint)
+            }
+            // Only VMs that start later need the verdicts stored on the platform, and
+            // no VM does here: reads find nothing and every store succeeds.
             CrashEffect::Read => {
                 let reply = ReadReply::Missing;
                 let event = CrashEvent::ReadReplied { reply };
@@ -312,27 +318,27 @@
         self.next_number
     }
 
-    pub(super) fn event_for(&mut self, vm: usize, ticket: u64, at: u64, kind: RunNews) {
+    pub(super) fn report_outcome(&mut self, vm: usize, ticket: u64, at: u64, kind: RunOutcome) {
         let ticket = CrashTicket::new(ticket);
         let event = match kind {
-            RunNews::Completed => CrashEvent::Completed { ticket },
-            RunNews::Stopped => CrashEvent::Stopped { ticket },
-            RunNews::Broken => CrashEvent::StreamBroken { ticket },
+            RunOutcome::Completed => CrashEvent::Completed { ticket },
+            RunOutcome::Stopped => CrashEvent::Stopped { ticket },
+            RunOutcome::Broken => CrashEvent::StreamBroken { ticket },
         };
         self.apply(vm, event, at);
     }
 }
 
-/// How a run ended at its VM.
+/// Outcome of a run at its VM.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum RunNews {
+pub(super) enum RunOutcome {
     Completed,
     Stopped,
     Broken,
 }
 
-fn fake_endpoint(number: usize) -> Option<FakeEndpoint> {
-    Some(FakeEndpoint {
+fn simulated_endpoint(number: usize) -> Option<SimulatedEndpoint> {
+    Some(SimulatedEndpoint {
         name: format!("endpoint-{number}").parse().ok()?,
         centre: number % VMS_PER_CENTRE.len(),
         incarnation: 1,
@@ -340,7 +346,7 @@
     })
 }
 
-/// Returns the fingerprint of a body.
+/// Returns the fingerprint of a request with the body number as content.
 pub(super) fn fingerprint(body: u64) -> Option<RequestFingerprint> {
     let account: AccountId = "account".parse().ok()?;
     let model: ModelId = "model".parse().ok()?;
