--- a/crates/clementinepond_measure/src/experiment/placement/fake/engine.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine that does what it is told, and counts what it should not
-//! have been told.
+//! Simulated model engine that applies orders and rejects those that do not fit
+//! into memory or carry an old fencing number.
 
 use clementinepond_decide::plan::{
     AdapterReport, EndpointAction, EndpointReport, Incarnation, ModelReport, ModelState,
@@ -11,46 +11,46 @@
 /// Model version held by an engine.
 pub type FakeKey = (ModelId, ModelVersion);
 
-/// Copy held by an engine.
+/// Copy of a model held by an engine.
 #[derive(Debug, Clone)]
 pub struct FakeCopy {
-    /// State of the copy.
+    /// Lifecycle state of the copy.
     pub state: ModelState,
-    /// Memory that it takes.
+    /// Accelerator memory in use, in MiB.
     pub memory: u64,
 }
 
-/// What an order led to.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum EngineStep {
-    /// Nothing to wait for.
+    /// No load or unload began.
     Nothing,
     /// A load has begun.
     Loading(FakeKey),
-    /// An unload has begun; true when it took the last ready copy here.
+    /// An unload has begun.
     Draining(FakeKey),
-    /// The memory would have been overcommitted.
+    /// The load would have exceeded the endpoint's memory.
     NoMemory,
-    /// The fencing number was too small.
+    /// The fencing number was smaller than one already seen.
     Refused,
 }
 
-/// A model engine.
+/// Simulated model engine of one endpoint.
 #[derive(Debug, Clone)]
 pub struct FakeEngine {
-    /// Name.
+    /// Endpoint that the engine serves.
     pub id: EndpointId,
     /// Accelerator memory, in MiB.
     pub memory: u64,
     /// Number of accelerators.
     pub accelerators: u32,
-    /// Whether old fencing numbers are refused.
+    /// Whether orders with old fencing numbers are refused.
     pub checks_fencing: bool,
-    /// Run of the process.
+    /// Number of the current run of the process, starting at 1.
     pub incarnation: u64,
-    /// Models held.
+    /// Copies held, by model version.
     pub copies: BTreeMap<FakeKey, FakeCopy>,
-    /// Adapters held, with their model and memory.
+    /// Adapters held, with their model and memory in MiB.
     pub adapters: BTreeMap<AdapterId, (ModelId, u64)>,
     pub(super) largest_fencing: FencingNumber,
     last_order: OrderNumber,
@@ -83,7 +83,7 @@
         models + adapters
     }
 
-    /// Returns whether a model is ready in any version.
+    /// Returns whether any version of a model is ready.
     #[must_use]
     pub fn serves(&self, model: &ModelId) -> bool {
         self.copies
@@ -166,7 +166,7 @@
         EngineStep::Loading(key)
     }
 
-    /// Holds a copy from the start.
+    /// Adds a ready copy without an order.
     pub(super) fn preload(&mut self, key: FakeKey, memory: u64) {
         let copy = FakeCopy {
             state: ModelState::Ready,
@@ -175,7 +175,7 @@
         self.copies.insert(key, copy);
     }
 
-    /// Loses everything, as a crashed process does.
+    /// Starts a new incarnation without copies, adapters or order history.
     pub(super) fn restart(&mut self) {
         self.incarnation += 1;
         self.copies.clear();
--- a/crates/clementinepond_measure/src/experiment/placement/fake/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/mod.rs
@@ -1,7 +1,7 @@
-//! Fakes at the placement part's interfaces, in virtual time.
+//! Simulated VMs, platform and model engines for the placement code, in virtual time.
 
-mod chance;
 mod engine;
+mod faults;
 mod platform;
 mod step;
 mod vm;
@@ -9,7 +9,7 @@
 mod world_event;
 mod world_setup;
 
-pub use chance::FaultRates;
 pub use engine::{FakeCopy, FakeEngine, FakeKey};
+pub use faults::FaultRates;
 pub use world::{FakeWorld, WorldChecks};
 pub use world_setup::{CentreSetup, EndpointSetup, WorldSetup};
--- a/crates/clementinepond_measure/src/experiment/placement/fake/platform.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/platform.rs
@@ -1,10 +1,10 @@
-//! The platform's object API for one plan object.
+//! Simulated object API of the platform, limited to one plan object.
 
 use clementinepond_decide::plan::PlanObject;
 use clementinepond_decide::port::{ReadReply, StoreReply, VersionedObject};
 use clementinepond_types::ObjectVersion;
 
-/// The platform's object API for one plan object.
+/// Store of one plan object with compare-and-swap on its version.
 #[derive(Debug, Default)]
 pub(super) struct FakePlatform {
     object: Option<VersionedObject<PlanObject>>,
--- a/crates/clementinepond_measure/src/experiment/placement/fake/vm.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/vm.rs
@@ -1,13 +1,13 @@
-//! One VM with a clock of its own.
+//! Simulated VM with its own clock.
 
 use clementinepond_decide::plan::PlanState;
 use clementinepond_types::LocalTime;
 
-/// One VM with a clock of its own.
+/// VM whose clock has a fixed offset and drift from the simulator's time.
 pub(super) struct FakeVm {
     pub(super) centre: usize,
     pub(super) state: PlanState,
-    pub(super) life: u32,
+    pub(super) vm_incarnation: u32,
     pub(super) is_alive: bool,
     pub(super) paused_until: u64,
     offset_us: u64,
@@ -19,7 +19,7 @@
         Self {
             centre,
             state,
-            life: 0,
+            vm_incarnation: 0,
             is_alive: true,
             paused_until: 0,
             offset_us,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns what the VM's clock shows at a true time.
+    /// Returns the time on the VM's clock at a simulator time in microseconds.
     pub(super) fn local(&self, true_us: u64) -> LocalTime {
         let million = 1_000_000_i128;
         let scaled = i128::from(true_us) * (million + i128::from(self.drift_ppm)) / million;
--- a/crates/clementinepond_measure/src/experiment/placement/fake/world.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/world.rs
@@ -1,6 +1,6 @@
-//! Virtual time: VMs, platform, engines and what goes wrong between them.
+//! Discrete-event simulator of VMs, platforms and engines, with fault injection.
 
-use super::chance::up_to;
+use super::faults::random_up_to;
 use super::platform::FakePlatform;
 use super::vm::FakeVm;
 use super::world_event::{TimedEvent, WorldEvent};
@@ -14,30 +14,33 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Breaches of the must-holds.
+/// Counts of invariant violations, moves and orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorldChecks {
-    /// Loads that had no room.
+    /// Number of orders that would have exceeded an endpoint's memory.
     pub overcommitted: u64,
-    /// Last ready copies that were unloaded.
+    /// Number of unloads that left a hosted model without a ready copy, except
+    /// shortly after a crash of an endpoint that held it.
     pub last_copies_unloaded: u64,
-    /// Orders that took effect after a later holder's first.
-    pub old_orders: u64,
-    /// Most model loads under way at once, over all data centres.
-    pub most_loads: usize,
-    /// Model loads and unloads that took effect.
+    /// Number of orders that reached an endpoint without fencing after one with
+    /// a larger fencing number.
+    pub stale_orders: u64,
+    /// Maximum number of concurrent model loads, over all data centres.
+    pub max_concurrent_loads: usize,
+    /// Number of model loads and unloads that began.
     pub moves: u64,
-    /// Orders that took effect.
+    /// Number of orders that reached an endpoint and were not refused by fencing,
+    /// duplicates included.
     pub orders: u64,
 }
 
-/// Virtual time: VMs, platform, engines and what goes wrong between them.
+/// Discrete-event simulator of VMs, platforms and engines, with fault injection.
 pub struct FakeWorld {
-    /// Engines.
+    /// Engine of each endpoint.
     pub engines: Vec<FakeEngine>,
-    /// Data centre of each engine.
+    /// Index of the data centre of each engine.
     pub engine_centres: Vec<usize>,
-    /// Breaches of the must-holds.
+    /// Counts of invariant violations, moves and orders.
     pub checks: WorldChecks,
     pub(super) now: u64,
     sequence: u64,
@@ -52,7 +55,7 @@
 }
 
 impl FakeWorld {
-    /// Builds a world.
+    /// Creates a simulator at time zero.
     #[must_use]
     pub fn new(setup: WorldSetup, seed: u64) -> Self {
         let mut world = Self {
@@ -90,7 +93,7 @@
             for (key, memory) in endpoint.preloaded {
                 engine.preload(key, memory);
             }
-            let first = up_to(&mut self.rng, self.setup.report_us);
+            let first = random_up_to(&mut self.rng, self.setup.report_us);
             let index = self.engines.len();
             self.engines.push(engine);
             self.engine_centres.push(centre);
@@ -103,13 +106,19 @@
 
     fn add_vm(&mut self, centre: usize) {
         let index = self.vms.len();
-        let offset = up_to(&mut self.rng, 1_000_000_000);
+        let offset = random_up_to(&mut self.rng, 1_000_000_000);
         let drift = self.rng.random_range(-1_000..=1_000);
         let state = self.new_state(centre, index);
         self.vms.push(FakeVm::new(centre, state, offset, drift));
-        self.introduce(index);
-        let first = self.now + up_to(&mut self.rng, self.setup.tick_us);
-        self.push(first, WorldEvent::Tick { vm: index, life: 0 });
+        self.send_initial_events(index);
+        let first = self.now + random_up_to(&mut self.rng, self.setup.tick_us);
+        self.push(
+            first,
+            WorldEvent::Tick {
+                vm: index,
+                vm_incarnation: 0,
+            },
+        );
     }
 
     fn new_state(&self, centre: usize, index: usize) -> PlanState {
@@ -117,8 +126,8 @@
         PlanState::new(self.setup.settings.clone(), vm_name(index), data_centre)
     }
 
-    /// Tells a new VM what its daemon would tell it.
-    fn introduce(&mut self, vm: usize) {
+    /// Sends a new VM the events that its daemon would send at start-up.
+    fn send_initial_events(&mut self, vm: usize) {
         let centre = self.vms[vm].centre;
         let mut events = vec![PlanEvent::CatalogueChanged {
             catalogue: Box::new(self.catalogues[centre].clone()),
@@ -136,53 +145,53 @@
             }
         }
         for event in events {
-            self.tell(vm, event);
+            self.apply_event(vm, event);
         }
-        self.share_roster(centre);
+        self.announce_roster(centre);
     }
 
-    fn share_roster(&mut self, centre: usize) {
+    fn announce_roster(&mut self, centre: usize) {
         let members: BTreeSet<VmId> = (0..self.vms.len())
             .filter(|&vm| self.vms[vm].centre == centre && self.vms[vm].is_alive)
             .map(vm_name)
             .collect();
-        for vm in self.living(centre) {
+        for vm in self.live_vms(centre) {
             let members = members.clone();
-            self.tell(vm, PlanEvent::RosterChanged { members });
+            self.apply_event(vm, PlanEvent::RosterChanged { members });
         }
     }
 
-    pub(super) fn living(&self, centre: usize) -> Vec<usize> {
+    pub(super) fn live_vms(&self, centre: usize) -> Vec<usize> {
         (0..self.vms.len())
             .filter(|&vm| self.vms[vm].centre == centre && self.vms[vm].is_alive)
             .collect()
     }
 
-    /// Returns the true time, in microseconds.
+    /// Returns the simulator's time, in microseconds.
     #[must_use]
     pub const fn now(&self) -> u64 {
         self.now
     }
 
-    /// Returns the VM that holds a data centre's lease, if one does.
+    /// Returns the index of the VM that holds a data centre's lease, if any.
     #[must_use]
     pub fn holder(&self, centre: usize) -> Option<usize> {
-        self.living(centre).into_iter().find(|&vm| {
+        self.live_vms(centre).into_iter().find(|&vm| {
             let local = self.vms[vm].local(self.now);
             self.vms[vm].state.holds(local)
         })
     }
 
-    /// Returns the state of a VM.
+    /// Returns the planner state of a VM.
     #[must_use]
     pub fn state(&self, vm: usize) -> &PlanState {
         &self.vms[vm].state
     }
 
-    /// Returns whether a data centre's holder waits for nothing and has no
-    /// order under way.
+    /// Returns whether a data centre has a lease holder without goals, open orders
+    /// or drains, and with every endpoint confirmed.
     #[must_use]
-    pub fn is_quiet(&self, centre: usize) -> bool {
+    pub fn is_settled(&self, centre: usize) -> bool {
         self.holder(centre).is_some_and(|vm| {
             let state = &self.vms[vm].state;
             let is_idle = |entry: &EndpointEntry| {
@@ -194,7 +203,7 @@
         })
     }
 
-    /// Kills a VM; a new one starts in its place.
+    /// Kills a live VM and starts a new one in the same data centre.
     pub fn kill(&mut self, vm: usize) {
         let centre = self.vms[vm].centre;
         if self.vms[vm].is_alive {
@@ -203,17 +212,17 @@
         }
     }
 
-    /// Changes how often things go wrong.
+    /// Replaces the fault probabilities and delay bounds.
     pub const fn set_rates(&mut self, rates: FaultRates) {
         self.setup.rates = rates;
     }
 
     /// Releases a VM's lease, as a graceful shutdown does.
     pub fn release(&mut self, vm: usize) {
-        self.tell(vm, PlanEvent::Release);
+        self.apply_event(vm, PlanEvent::Release);
     }
 
-    /// Restarts an engine.
+    /// Restarts an engine, which loses its copies.
     pub fn restart(&mut self, endpoint: usize) {
         let engine = &mut self.engines[endpoint];
         for ((model, _), copy) in &engine.copies {
@@ -223,26 +232,27 @@
         engine.restart();
     }
 
-    /// Changes what operators want placed in a data centre.
+    /// Replaces the placement catalogue of a data centre.
     pub fn set_catalogue(&mut self, centre: usize, catalogue: PlacementCatalogue) {
         self.catalogues[centre] = catalogue;
-        for vm in self.living(centre) {
+        for vm in self.live_vms(centre) {
             let catalogue = Box::new(self.catalogues[centre].clone());
-            self.tell(vm, PlanEvent::CatalogueChanged { catalogue });
+            self.apply_event(vm, PlanEvent::CatalogueChanged { catalogue });
         }
     }
 
-    /// Tells a data centre's VMs the load of a model.
+    /// Reports the load of a model, in thousandths of an accelerator, to a data
+    /// centre's VMs.
     pub fn observe_demand(&mut self, centre: usize, model: &ModelId, load: u64) {
-        for vm in self.living(centre) {
+        for vm in self.live_vms(centre) {
             let model = model.clone();
             let load = ComputeLoad::from_milli(load);
-            self.tell(vm, PlanEvent::DemandObserved { model, load });
+            self.apply_event(vm, PlanEvent::DemandObserved { model, load });
         }
     }
 
-    /// Tells each data centre which models the others have ready.
-    pub fn share_peers(&mut self) {
+    /// Announces to each data centre which models are ready in the others.
+    pub fn announce_ready_models(&mut self) {
         let ready: Vec<BTreeSet<ModelId>> = (0..self.setup.centres.len())
             .map(|centre| self.ready_models(centre))
             .collect();
@@ -253,9 +263,9 @@
                 .filter(|(other, _)| *other != centre)
                 .map(|(other, models)| (self.setup.centres[other].id.clone(), models.clone()))
                 .collect();
-            for vm in self.living(centre) {
+            for vm in self.live_vms(centre) {
                 let ready = peers.clone();
-                self.tell(vm, PlanEvent::PeersObserved { ready });
+                self.apply_event(vm, PlanEvent::PeersObserved { ready });
             }
         }
     }
@@ -271,7 +281,7 @@
             .collect()
     }
 
-    /// Runs until a true time.
+    /// Processes events up to a simulator time, in microseconds.
     pub fn run_until(&mut self, end: u64) {
         while let Some(next) = self.queue.peek() {
             if next.at > end {
@@ -281,7 +291,7 @@
                 break;
             };
             self.now = timed.at;
-            self.happen(timed.event);
+            self.handle_event(timed.event);
         }
         self.now = end;
     }
--- a/crates/clementinepond_measure/src/experiment/placement/fake/world_event.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/world_event.rs
@@ -1,50 +1,50 @@
-//! What happens in the world at one moment.
+//! Simulator events and their order in the queue.
 
 use super::FakeKey;
 use clementinepond_decide::plan::{EndpointAction, OrderNumber, PlanEffect, PlanEvent, PlanObject};
 use clementinepond_types::{FencingNumber, ObjectVersion};
 use std::cmp::Ordering;
 
-/// Order on its way to an engine.
+/// Order in transit to an engine.
 #[derive(Debug, Clone)]
-pub(super) struct FlyingOrder {
+pub(super) struct InFlightOrder {
     pub(super) vm: usize,
     pub(super) number: OrderNumber,
     pub(super) fencing: FencingNumber,
     pub(super) action: EndpointAction,
 }
 
-/// What happens at one moment.
+/// Simulator event.
 #[derive(Debug)]
 pub(super) enum WorldEvent {
     Tick {
         vm: usize,
-        life: u32,
+        vm_incarnation: u32,
     },
     Deliver {
         vm: usize,
-        life: u32,
+        vm_incarnation: u32,
         event: PlanEvent,
     },
-    Act {
+    PerformEffect {
         vm: usize,
-        life: u32,
+        vm_incarnation: u32,
         effect: PlanEffect,
     },
     ReadArrives {
         vm: usize,
-        life: u32,
+        vm_incarnation: u32,
     },
     StoreArrives {
         vm: usize,
-        life: u32,
+        vm_incarnation: u32,
         object: Box<PlanObject>,
         if_version: ObjectVersion,
         is_answered: bool,
     },
-    OrderActs {
+    OrderArrives {
         endpoint: usize,
-        order: FlyingOrder,
+        order: InFlightOrder,
     },
     Loaded {
         endpoint: usize,
@@ -61,7 +61,8 @@
     },
 }
 
-/// Event with its moment; the earliest is the greatest.
+/// Event with its time in microseconds; the earliest compares greatest, since
+/// `BinaryHeap` pops the greatest.
 #[derive(Debug)]
 pub(super) struct TimedEvent {
     pub(super) at: u64,
--- a/crates/clementinepond_measure/src/experiment/placement/fake/world_setup.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/fake/world_setup.rs
@@ -1,54 +1,55 @@
-//! What a world starts with.
+//! Initial state and settings of a simulator.
 
 use super::{FakeKey, FaultRates};
 use clementinepond_decide::plan::{PlacementCatalogue, PlanSettings};
 use clementinepond_types::{DataCentreId, EndpointId};
 
-/// One endpoint.
+/// Initial state of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointSetup {
-    /// Name.
+    /// Endpoint name.
     pub id: EndpointId,
     /// Accelerator memory, in MiB.
     pub memory: u64,
     /// Number of accelerators.
     pub accelerators: u32,
-    /// Whether old fencing numbers are refused.
+    /// Whether orders with old fencing numbers are refused.
     pub checks_fencing: bool,
-    /// Copies that are ready from the start, with their memory.
+    /// Copies that are ready at the start, with their memory in MiB.
     pub preloaded: Vec<(FakeKey, u64)>,
 }
 
-/// One data centre.
+/// Initial state of one data centre.
 #[derive(Debug, Clone)]
 pub struct CentreSetup {
-    /// Name.
+    /// Data centre name.
     pub id: DataCentreId,
     /// Number of VMs.
     pub vms: usize,
-    /// Endpoints.
+    /// Endpoints in the data centre.
     pub endpoints: Vec<EndpointSetup>,
-    /// What operators want placed.
+    /// Models and adapters that operators want placed.
     pub catalogue: PlacementCatalogue,
 }
 
-/// What a world starts with.
+/// Initial state and settings of a simulator.
 #[derive(Debug, Clone)]
 pub struct WorldSetup {
-    /// Data centres.
+    /// Data centres to simulate.
     pub centres: Vec<CentreSetup>,
-    /// Settings of every VM.
+    /// Planner settings of every VM.
     pub settings: PlanSettings,
-    /// How often things go wrong.
+    /// Fault probabilities and delay bounds.
     pub rates: FaultRates,
-    /// Loads at full speed at once, over all data centres.
+    /// Number of concurrent loads that the store serves at full speed, over all
+    /// data centres.
     pub store_at_once: usize,
-    /// Time of one load at full speed, in microseconds.
+    /// Duration of one load at full speed, in microseconds.
     pub load_us: u64,
-    /// Time that running requests need to end, in microseconds.
+    /// Time that running requests take to drain before an unload, in microseconds.
     pub drain_us: u64,
-    /// Time between two reports, in microseconds.
+    /// Interval between reports of an endpoint, in microseconds.
     pub report_us: u64,
-    /// Time between two ticks of a VM, in microseconds.
+    /// Interval between ticks of a VM, in microseconds.
     pub tick_us: u64,
 }
--- a/crates/clementinepond_measure/src/experiment/placement/mod.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/mod.rs
@@ -1,8 +1,9 @@
-//! Placement: attainment, moves and safety of the plan, in virtual time.
+//! Experiments on model placement: attainment, moves and safety, in virtual time.
 //!
-//! Three experiments share the fakes: `placement` compares policies while
-//! demand moves, `placement-recovery` kills the holder in the middle of its
-//! moves, and `placement-time` measures the planner's processor time.
+//! `placement` compares policies under changing demand, `placement-recovery`
+//! kills the lease holder while its moves are in progress, and
+//! `placement-time` measures the planner's wall-clock time.
+//! The first two share the simulator in [`fake`].
 
 mod attainment;
 pub mod fake;
@@ -22,20 +23,20 @@
 use std::collections::BTreeMap;
 use workload::Workload;
 
-/// Length of a run, in seconds.
-const RUN_S: u32 = 3_600;
-/// Smallest attainment, as a multiple of the static placement's.
-const GAIN_OVER_STATIC: f64 = 1.3;
-/// Largest part of the greedy planner's moves.
-const MOVES_OF_GREEDY: f64 = 0.5;
+/// Measured duration of a run after the warm-up, in seconds.
+const RUN_DURATION_S: u32 = 3_600;
+/// Minimum ratio of the current planner's attainment to that of the static placement.
+const MIN_GAIN_OVER_STATIC: f64 = 1.3;
+/// Maximum ratio of the current planner's moves to those of the greedy policy.
+const MAX_MOVES_OVER_GREEDY: f64 = 0.5;
 
-/// Runs the experiment.
+/// Runs the `placement` experiment on every deployment for 3,600 s.
 #[must_use]
 pub fn run(seed: u64) -> ExperimentReport {
-    run_sizes(seed, &[MIZUHARA, SKJABORD, TARGET], RUN_S)
+    run_sizes(seed, &[MIZUHARA, SKJABORD, TARGET], RUN_DURATION_S)
 }
 
-/// Runs the experiment on some deployments, for some seconds each.
+/// Runs the `placement` experiment on the given deployments, for `seconds` each after the warm-up.
 #[must_use]
 pub fn run_sizes(seed: u64, sizes: &[DeploymentSize], seconds: u32) -> ExperimentReport {
     let mut report = ExperimentReport::new("placement", seed);
@@ -64,22 +65,22 @@
     measures.insert(size.measures.attainment, result.attainment);
     measures.insert(size.measures.served, result.served);
     measures.insert(size.measures.moves, result.moves);
-    // The plain names hold the sum over the deployments.
+    // Measures without a deployment prefix are sums over the deployments.
     *measures.entry("attainment_per_accelerator").or_default() += result.attainment;
     *measures.entry("moves").or_default() += result.moves;
 }
 
 fn add_violations(report: &mut ExperimentReport, size: &DeploymentSize, result: &PolicyResult) {
     let checks = result.checks;
-    let at_once = usize::try_from(size.loads_at_once).unwrap_or(usize::MAX);
+    let store_limit = usize::try_from(size.loads_at_once).unwrap_or(usize::MAX);
     let found = [
         ("overcommitted_memory", checks.overcommitted),
         ("models_without_serving_copy", result.without_copy),
         ("last_copies_unloaded", checks.last_copies_unloaded),
-        ("orders_of_old_holders", checks.old_orders),
+        ("orders_of_old_holders", checks.stale_orders),
         (
             "store_limit_exceeded",
-            u64::from(checks.most_loads > at_once),
+            u64::from(checks.max_concurrent_loads > store_limit),
         ),
     ];
     for (name, count) in found {
@@ -92,7 +93,7 @@
     size: &DeploymentSize,
     results: &BTreeMap<&'static str, PolicyResult>,
 ) {
-    let (Some(fixed), Some(greedy), Some(current)) = (
+    let (Some(baseline), Some(greedy), Some(current)) = (
         results.get("baseline"),
         results.get("greedy"),
         results.get("current"),
@@ -103,8 +104,8 @@
     report.targets.extend([
         TargetResult::at_least(
             &name("attainment over static"),
-            GAIN_OVER_STATIC,
-            current.attainment / fixed.attainment,
+            MIN_GAIN_OVER_STATIC,
+            current.attainment / baseline.attainment,
         ),
         TargetResult::at_least(
             &name("attainment over greedy"),
@@ -113,7 +114,7 @@
         ),
         TargetResult::at_most(
             &name("moves over greedy"),
-            MOVES_OF_GREEDY,
+            MAX_MOVES_OVER_GREEDY,
             current.moves / greedy.moves.max(1.0),
         ),
         TargetResult::at_most(
--- a/crates/clementinepond_measure/src/experiment/placement/planning_time.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/planning_time.rs
@@ -1,9 +1,9 @@
-//! Processor time of one plan, by the wall clock of this machine.
+//! Wall-clock time of one plan.
 //!
-//! Besides full fleets it measures one that has lost every other endpoint, in
-//! which many models lack a copy and hardly any room is left.
+//! Measures complete fleets, and one that has lost every second endpoint, so
+//! that many models lack a copy and little memory is free.
 //!
-//! Unlike every other experiment this one is not repeatable byte for byte.
+//! The results depend on the machine and are not repeatable byte for byte.
 
 use super::workload::{TARGET, Workload, version};
 use crate::{ExperimentReport, TargetResult};
@@ -14,23 +14,24 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Longest allowed time of one plan, in milliseconds.
+/// Maximum time of one plan, in milliseconds.
 const PLAN_LIMIT_MS: f64 = 50.0;
-/// Plans measured of each size; the slowest counts.
-const ROUNDS: u32 = 12;
-/// Models of each size and the names of its measures.
+/// Number of plans measured per size; the slowest is reported.
+const MEASURED_PLANS: u32 = 12;
+/// Number of models of each size, and the name of its measure.
 const SIZES: [(usize, &str); 4] = [
     (75, "plan_ms_75_models"),
     (150, "plan_ms_150_models"),
     (300, "plan_ms_300_models"),
     (600, "plan_ms_600_models"),
 ];
-/// Models of the target size.
+/// Number of models of the target deployment.
 const TARGET_MODELS: usize = 300;
-/// Endpoints for each model.
-const ENDPOINTS_A_MODEL: usize = 2;
+/// Number of endpoints per model before any are lost.
+const ENDPOINTS_PER_MODEL: usize = 2;
 
-/// Measures one plan at 75, 150, 300 and 600 models.
+/// Runs the `placement-time` experiment at 75, 150, 300 and 600 models,
+/// and at 300 models with half of the endpoints lost.
 #[must_use]
 pub fn run_time(seed: u64) -> ExperimentReport {
     let mut report = ExperimentReport::new("placement-time", seed);
@@ -51,19 +52,19 @@
     report
 }
 
-/// Returns the time of the slowest plan, with one endpoint of each `kept_of`
-/// left; the placement is made for all.
-fn slowest_plan_ms(models: usize, seed: u64, kept_of: usize) -> f64 {
+/// Returns the time of the slowest plan in milliseconds, with one of every
+/// `endpoint_stride` endpoints left; the placement is computed for all of them.
+fn slowest_plan_ms(models: usize, seed: u64, endpoint_stride: usize) -> f64 {
     let mut size = TARGET;
     size.models = models;
     size.centres = 1;
-    size.endpoints = models * ENDPOINTS_A_MODEL;
+    size.endpoints = models * ENDPOINTS_PER_MODEL;
     let workload = Workload::new(size, seed);
-    // The first plan warms the processor's caches.
-    drop(planner::plan(&problem(&workload, 0.0, kept_of)));
-    (0..ROUNDS)
+    // An unmeasured plan warms the processor's caches.
+    drop(planner::plan(&problem(&workload, 0.0, endpoint_stride)));
+    (0..MEASURED_PLANS)
         .map(|round| {
-            let problem = problem(&workload, f64::from(round) * 300.0, kept_of);
+            let problem = problem(&workload, f64::from(round) * 300.0, endpoint_stride);
             let start = Instant::now();
             let outcome = planner::plan(&problem);
             let elapsed = start.elapsed().as_secs_f64() * 1_000.0;
@@ -73,8 +74,11 @@
         .fold(0.0, f64::max)
 }
 
-/// Builds a full fleet, placed for the mean load, at a moment of the swing.
-fn problem(workload: &Workload, second: f64, kept_of: usize) -> PlanProblem {
+/// Builds the planning problem at `second` of the demand curve.
+///
+/// The models are placed for the mean load on all endpoints; one of every
+/// `endpoint_stride` endpoints is kept.
+fn problem(workload: &Workload, second: f64, endpoint_stride: usize) -> PlanProblem {
     let placement = workload.static_placement();
     let endpoints = workload
         .setup(clementinepond_decide::plan::PlanSettings::default())
@@ -82,7 +86,7 @@
         .into_iter()
         .flat_map(|centre| centre.endpoints)
         .zip(placement)
-        .step_by(kept_of)
+        .step_by(endpoint_stride)
         .map(|(endpoint, placed)| {
             let used: u64 = placed.iter().map(|(_, memory)| memory).sum();
             let holdings = placed
--- a/crates/clementinepond_measure/src/experiment/placement/policy.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/policy.rs
@@ -1,29 +1,29 @@
-//! Policies that are compared.
+//! Placement policies compared by the `placement` experiment.
 
 use clementinepond_decide::plan::PlanSettings;
 use clementinepond_decide::plan::planner::PlannerTuning;
 use clementinepond_types::TimeSpan;
 
-/// Policy of placement.
+/// Placement policy under comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementPolicy {
-    /// The first placement stays.
+    /// Keeps the initial placement; no VM runs a planner.
     Static,
-    /// Follows the load of the moment; no move has a cost.
+    /// Follows the current load; moves carry no cost.
     Greedy,
-    /// The planner as it is.
+    /// Uses the planner with its default settings.
     Current,
 }
 
 impl PlacementPolicy {
-    /// All policies, with their names in the report.
+    /// Every policy with its name in the report.
     pub const ALL: [(&'static str, Self); 3] = [
         ("baseline", Self::Static),
         ("greedy", Self::Greedy),
         ("current", Self::Current),
     ];
 
-    /// Returns the settings that make the policy.
+    /// Returns the planner settings of the policy.
     #[must_use]
     pub fn settings(self) -> PlanSettings {
         let mut settings = PlanSettings::default();
--- a/crates/clementinepond_measure/src/experiment/placement/recovery.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/recovery.rs
@@ -1,5 +1,4 @@
-//! Small worlds in which everything goes wrong and the holder is killed in
-//! the middle of its moves.
+//! Seeded fault schedules on a small cluster, with lease holders killed during moves.
 
 use super::fake::{CentreSetup, EndpointSetup, FakeWorld, FaultRates, WorldChecks, WorldSetup};
 use super::run_policy::count;
@@ -16,49 +15,49 @@
 
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
-/// Schedules of one run.
+/// Number of schedules in one run, and the distance between the seeds of two runs.
 const SCHEDULES: u64 = 1_000;
-/// Time with faults, in seconds.
-const FAULTY_S: u64 = 150;
-/// Longest time to become whole again, in seconds.
-const HEALING_S: u64 = 400;
-/// Time of a graceful shutdown, in seconds.
-const SHUTDOWN_S: u64 = 10;
-/// Endpoints of the small world.
+/// Duration of fault injection, in seconds.
+const FAULT_PHASE_S: u64 = 150;
+/// Time limit for recovery after fault injection ends, in seconds.
+const RECOVERY_LIMIT_S: u64 = 400;
+/// Time from releasing the lease until the VM stops, in seconds.
+const SHUTDOWN_DURATION_S: u64 = 10;
+/// Number of endpoints in the simulated cluster.
 const ENDPOINTS: usize = 4;
-/// Models of the small world.
+/// Number of models in the simulated cluster.
 const MODELS: u64 = 6;
 
-/// What one schedule led to.
+/// Result of one schedule.
 #[derive(Debug, Clone, Copy)]
 pub struct ScheduleResult {
-    /// Breaches of the must-holds.
+    /// Invariant violations and related counts.
     pub checks: WorldChecks,
-    /// Whether every model is ready again and nothing is under way.
-    pub is_whole: bool,
-    /// Holders that were killed.
+    /// Whether every model was ready and no move was in progress before the time limit.
+    pub is_recovered: bool,
+    /// Number of lease holders killed during moves, excluding those that shut down.
     pub kills: u32,
 }
 
-/// Kills the holder in the middle of its moves, over many seeded schedules.
+/// Runs the `placement-recovery` experiment over 1,000 seeded schedules.
 #[must_use]
 pub fn run_recovery(seed: u64) -> ExperimentReport {
     run_schedules(seed, SCHEDULES)
 }
 
-/// Runs some schedules; their seeds follow from the given one.
+/// Runs `schedules` schedules, with consecutive seeds starting at 1,000 times `seed`.
 #[must_use]
 pub fn run_schedules(seed: u64, schedules: u64) -> ExperimentReport {
     let mut report = ExperimentReport::new("placement-recovery", seed);
-    let mut whole = 0;
+    let mut recovered = 0;
     for schedule in 0..schedules {
         let result = run_schedule(seed.wrapping_mul(SCHEDULES).wrapping_add(schedule), &[]);
         add(&mut report, &result);
-        whole += u64::from(result.is_whole);
+        recovered += u64::from(result.is_recovered);
     }
     let overcommitted = report.violations.get("overcommitted_memory").copied();
     report.targets = vec![
-        TargetResult::at_least("schedules whole again", count(schedules), count(whole)),
+        TargetResult::at_least("schedules whole again", count(schedules), count(recovered)),
         TargetResult::at_most(
             "overcommitted memory",
             0.0,
@@ -73,8 +72,8 @@
     let found = [
         ("overcommitted_memory", checks.overcommitted),
         ("last_copies_unloaded", checks.last_copies_unloaded),
-        ("orders_of_old_holders", checks.old_orders),
-        ("not_whole_again", u64::from(!result.is_whole)),
+        ("orders_of_old_holders", checks.stale_orders),
+        ("not_whole_again", u64::from(!result.is_recovered)),
     ];
     for (name, count) in found {
         *report.violations.entry(name).or_default() += count;
@@ -85,40 +84,43 @@
     *measures.entry("holders_killed").or_default() += f64::from(result.kills);
 }
 
-/// Runs one schedule, with the named guards removed.
+/// Runs one schedule with the guards named in `mutations` disabled.
 ///
-/// Reports lag on even seeds; on odd ones they are prompt, and endpoints
-/// restart and VMs pause more often.
+/// Reports lag by up to 3 s on even seeds. On odd seeds they lag by up to
+/// 0.1 s, duplicate orders are more frequent, endpoints restart more often,
+/// and VMs pause more often and for longer.
 #[must_use]
 pub fn run_schedule(seed: u64, mutations: &[PlanMutation]) -> ScheduleResult {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut world = FakeWorld::new(setup(mutations, rates(seed)), seed);
     let mut kills = 0;
-    let mut leaving = Vec::new();
-    for second in 0..FAULTY_S {
+    let mut shutting_down = Vec::new();
+    for second in 0..FAULT_PHASE_S {
         world.run_until(second * SECOND_US);
-        kills += disturb(&mut world, &mut rng, second, &mut leaving);
+        kills += inject_faults(&mut world, &mut rng, second, &mut shutting_down);
     }
-    // A shutdown that began is carried to its end; else no VM could be left
-    // that takes the lease.
-    for (_, vm) in leaving {
+    // Completes shutdowns in progress: a VM that released its lease does not
+    // take it again, so otherwise no VM might be left to take it.
+    for (_, vm) in shutting_down {
         world.kill(vm);
     }
     world.set_rates(FaultRates::default());
-    let is_whole = heal(&mut world);
+    let is_recovered = wait_for_recovery(&mut world);
     ScheduleResult {
         checks: world.checks,
-        is_whole,
+        is_recovered,
         kills,
     }
 }
 
-/// Changes the demand, the version and the holder.
-fn disturb(
+/// Changes demand and model version, stops lease holders and restarts endpoints.
+///
+/// Returns the number of lease holders killed during moves.
+fn inject_faults(
     world: &mut FakeWorld,
     rng: &mut ChaCha8Rng,
     second: u64,
-    leaving: &mut Vec<(u64, usize)>,
+    shutting_down: &mut Vec<(u64, usize)>,
 ) -> u32 {
     let mut kills = 0;
     if second.is_multiple_of(10) {
@@ -131,7 +133,7 @@
         let version = format!("v{}", second / 60 + 2);
         world.set_catalogue(0, catalogue(ModelVersion::from(version.as_str())));
     }
-    leaving.retain(|&(at, vm)| {
+    shutting_down.retain(|&(at, vm)| {
         if at == second {
             world.kill(vm);
         }
@@ -140,13 +142,13 @@
     let Some(holder) = world.holder(0) else {
         return kills;
     };
-    let is_moving = !world.is_quiet(0);
+    let is_moving = !world.is_settled(0);
     if is_moving && rng.random_bool(0.03) {
         world.kill(holder);
         kills += 1;
     } else if rng.random_bool(0.03) {
         world.release(holder);
-        leaving.push((second + SHUTDOWN_S, holder));
+        shutting_down.push((second + SHUTDOWN_DURATION_S, holder));
     }
     if rng.random_bool(0.01) {
         world.restart(rng.random_range(0..ENDPOINTS));
@@ -154,19 +156,19 @@
     kills
 }
 
-/// Waits until the placement is whole and at rest.
-fn heal(world: &mut FakeWorld) -> bool {
+/// Returns whether every model is ready and no move is in progress within the time limit.
+fn wait_for_recovery(world: &mut FakeWorld) -> bool {
     for model in 0..MODELS {
         world.observe_demand(0, &model_name(model), 100);
     }
     let start = world.now();
-    for second in 1..=HEALING_S {
+    for second in 1..=RECOVERY_LIMIT_S {
         world.run_until(start + second * SECOND_US);
         let is_ready = |model| {
             let name = model_name(model);
             world.engines.iter().any(|engine| engine.serves(&name))
         };
-        if world.is_quiet(0) && (0..MODELS).all(is_ready) {
+        if world.is_settled(0) && (0..MODELS).all(is_ready) {
             return true;
         }
     }
@@ -207,8 +209,8 @@
 fn rates(seed: u64) -> FaultRates {
     let laggy = FaultRates {
         order_lost: 0.1,
-        order_doubled: 0.2,
-        order_late: 0.2,
+        order_duplicated: 0.2,
+        order_delayed: 0.2,
         report_lost: 0.1,
         report_lag_us: 3 * SECOND_US,
         answer_lost: 0.05,
@@ -220,7 +222,7 @@
         return laggy;
     }
     FaultRates {
-        order_doubled: 0.5,
+        order_duplicated: 0.5,
         report_lag_us: SECOND_US / 10,
         pause: 0.03,
         pause_us: 40 * SECOND_US,
--- a/crates/clementinepond_measure/src/experiment/placement/run_policy.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/run_policy.rs
@@ -1,4 +1,4 @@
-//! One run of one policy on one deployment.
+//! Simulation of one policy on one deployment.
 
 use super::attainment::{ModelLoad, ServedLoad, serve};
 use super::fake::{FakeWorld, WorldChecks};
@@ -9,23 +9,24 @@
 
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
-/// Time before the measurement, in seconds.
-const WARM_UP_S: u32 = 300;
+/// Maximum duration before measurement starts, in seconds; never longer than the measurement.
+const WARM_UP_DURATION_S: u32 = 300;
 
-/// What one run gave.
+/// Result of one run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PolicyResult {
-    /// Served load of one accelerator, as a share of its full use.
+    /// Mean served load per accelerator, as a share of its capacity.
     pub(super) attainment: f64,
     /// Share of the offered load that was served.
     pub(super) served: f64,
     pub(super) moves: f64,
     pub(super) checks: WorldChecks,
-    /// Moments at which a hosted model had no ready copy.
+    /// Number of observations of a model without a ready copy, counted per model
+    /// and step, warm-up included.
     pub(super) without_copy: u64,
 }
 
-/// Runs a policy for some seconds after the warm-up.
+/// Runs a policy for `seconds` after the warm-up.
 pub(super) fn run(
     workload: &Workload,
     policy: PlacementPolicy,
@@ -43,27 +44,27 @@
     let mut offered = 0.0;
     let mut served = 0.0;
     let mut without_copy = 0;
-    let mut warm_moves = 0;
-    let warm_up = WARM_UP_S.min(seconds);
+    let mut warm_up_moves = 0;
+    let warm_up = WARM_UP_DURATION_S.min(seconds);
     for second in (0..warm_up + seconds).step_by(usize::try_from(step).unwrap_or(1)) {
         world.run_until(u64::from(second) * SECOND_US);
         let loads = loads(workload, f64::from(second));
-        let now = serve(&world.engines, &loads);
-        observe(&mut world, workload, &loads, &now);
-        without_copy += missing(&world, workload);
+        let allocation = serve(&world.engines, &loads);
+        report_demand(&mut world, workload, &loads, &allocation);
+        without_copy += count_missing_models(&world, workload);
         if second < warm_up {
-            warm_moves = world.checks.moves;
+            warm_up_moves = world.checks.moves;
             continue;
         }
         offered += loads.values().map(|load| load.offered).sum::<f64>();
-        served += now.total;
+        served += allocation.total;
     }
     let accelerators: u32 = world.engines.iter().map(|engine| engine.accelerators).sum();
     let steps = f64::from(seconds.div_ceil(step));
     PolicyResult {
         attainment: served / steps / 1_000.0 / f64::from(accelerators),
         served: served / offered,
-        moves: count(world.checks.moves - warm_moves),
+        moves: count(world.checks.moves - warm_up_moves),
         checks: world.checks,
         without_copy,
     }
@@ -89,28 +90,27 @@
         .collect()
 }
 
-/// Tells each data centre the load that it served and its callers' part of
-/// the load that nobody served.
-fn observe(
+/// Reports to each data centre the load that it served and an equal share of the unserved load.
+fn report_demand(
     world: &mut FakeWorld,
     workload: &Workload,
     loads: &BTreeMap<ModelId, ModelLoad>,
     served: &ServedLoad,
 ) {
-    world.share_peers();
+    world.announce_ready_models();
     let centres = workload.size.centres;
-    let parts = f64::from(u32::try_from(centres).unwrap_or(1));
+    let centre_count = f64::from(u32::try_from(centres).unwrap_or(1));
     for (id, load) in loads {
         let copies = served.by_copy.get(id).map_or(&[][..], Vec::as_slice);
         let total: f64 = copies.iter().map(|(_, load)| load).sum();
-        let unserved = (load.offered - total).max(0.0) / parts;
+        let unserved = (load.offered - total).max(0.0) / centre_count;
         for centre in 0..centres {
-            let here: f64 = copies
+            let served_here: f64 = copies
                 .iter()
                 .filter(|(endpoint, _)| world.engine_centres[*endpoint] == centre)
                 .map(|(_, load)| load)
                 .sum();
-            world.observe_demand(centre, id, rounded(here + unserved));
+            world.observe_demand(centre, id, round_load(served_here + unserved));
         }
     }
 }
@@ -120,11 +120,11 @@
     clippy::cast_sign_loss,
     reason = "loads are small and not negative"
 )]
-fn rounded(load: f64) -> u64 {
+fn round_load(load: f64) -> u64 {
     load.round() as u64
 }
 
-fn missing(world: &FakeWorld, workload: &Workload) -> u64 {
+fn count_missing_models(world: &FakeWorld, workload: &Workload) -> u64 {
     let missing = workload
         .models
         .iter()
--- a/crates/clementinepond_measure/src/experiment/placement/workload.rs
+++ b/crates/clementinepond_measure/src/experiment/placement/workload.rs
@@ -1,7 +1,7 @@
-//! Deployments and their demand.
+//! Simulated deployments and their demand.
 //!
-//! The load of each model swings once an hour between a low and ten times
-//! it, each at its own time of the hour, with a short peak and some noise.
+//! The load of each model varies once an hour between a minimum and ten times
+//! that minimum, with a short peak at a random phase and 10% noise.
 
 use super::fake::{CentreSetup, EndpointSetup, FakeKey, FaultRates, WorldSetup};
 use clementinepond_decide::plan::{
@@ -15,68 +15,68 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::f64::consts::TAU;
 
-/// Sharpness of the hourly peak.
-const PEAK_POWER: i32 = 4;
-/// Factor between the lowest and the highest load.
-const SWING: f64 = 10.0;
-/// Period of the swing, in seconds.
+/// Exponent applied to the sine wave; larger values make the hourly peak shorter.
+const PEAK_EXPONENT: i32 = 4;
+/// Ratio of the highest to the lowest load, before noise.
+const PEAK_TO_LOW_RATIO: f64 = 10.0;
+/// Period of the demand curve, in seconds.
 const PERIOD_S: f64 = 3_600.0;
-/// Share by which noise changes the load.
-const NOISE: f64 = 0.1;
+/// Maximum relative change of the load by noise.
+const NOISE_AMPLITUDE: f64 = 0.1;
 
-/// Names of a deployment's measures.
+/// Names of a deployment's measures in the report.
 #[derive(Debug, Clone, Copy)]
 pub struct MeasureNames {
-    /// Served load of one accelerator.
+    /// Measure of the mean served load per accelerator.
     pub attainment: &'static str,
-    /// Share of the offered load that was served.
+    /// Measure of the share of the offered load that was served.
     pub served: &'static str,
-    /// Loads and unloads.
+    /// Measure of the model loads and unloads.
     pub moves: &'static str,
 }
 
-/// Size of one deployment.
+/// Size, limits and intervals of one simulated deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct DeploymentSize {
-    /// Name in the targets.
+    /// Prefix of the deployment's targets in the report.
     pub name: &'static str,
-    /// Names of the measures.
+    /// Names of the deployment's measures.
     pub measures: MeasureNames,
-    /// Data centres.
+    /// Number of data centres.
     pub centres: usize,
-    /// Endpoints in each data centre.
+    /// Number of endpoints in each data centre.
     pub endpoints: usize,
-    /// Accelerators of each endpoint.
+    /// Number of accelerators of each endpoint.
     pub accelerators: u32,
-    /// Memory of each endpoint, in MiB.
+    /// Accelerator memory of each endpoint, in MiB.
     pub memory: u64,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Adapters.
+    /// Number of adapters.
     pub adapters: usize,
-    /// Loads an hour, over all data centres.
+    /// Maximum model loads per hour, over all data centres.
     pub loads_an_hour: u32,
-    /// Loads at once at full speed, over all data centres.
+    /// Maximum concurrent model loads at full store throughput, over all data centres.
     pub loads_at_once: u32,
-    /// Adapters in transit at full speed, over all data centres.
+    /// Maximum concurrent adapter loads, over all data centres.
     pub adapters_at_once: u32,
-    /// Mean load as a share of all accelerators.
-    pub mean_use: f64,
-    /// Smallest and largest memory of a model, in MiB.
+    /// Mean offered load as a share of the capacity of all accelerators.
+    pub mean_utilization: f64,
+    /// Minimum and maximum memory of a model, in MiB.
     pub model_memory: (u64, u64),
-    /// Load that one copy can carry, in thousandths of an accelerator.
+    /// Maximum load of one copy, in thousandths of an accelerator.
     pub replica_limit: u64,
-    /// Time between two plans.
+    /// Interval between plans.
     pub plan_interval: TimeSpan,
-    /// Time between two observations of demand, in seconds.
+    /// Interval between demand observations, in seconds.
     pub step_s: u32,
-    /// Time between two reports, in microseconds.
+    /// Interval between reports of an endpoint, in microseconds.
     pub report_us: u64,
-    /// Time between two ticks of a VM, in microseconds.
+    /// Interval between ticks of a VM, in microseconds.
     pub tick_us: u64,
 }
 
-/// Nine runners, 15 models, 40 adapters; four loads at once.
+/// 9 endpoints, 15 models, 40 adapters, 4 concurrent loads.
 pub const MIZUHARA: DeploymentSize = DeploymentSize {
     name: "mizuhara",
     measures: MeasureNames {
@@ -93,7 +93,7 @@
     loads_an_hour: 3_600,
     loads_at_once: 4,
     adapters_at_once: 30,
-    mean_use: 0.6,
+    mean_utilization: 0.6,
     model_memory: (16_000, 40_000),
     replica_limit: 1_000,
     plan_interval: TimeSpan::from_secs(2),
@@ -102,7 +102,7 @@
     tick_us: 250_000,
 };
 
-/// Nine runners, 17 models, 55 adapters; six loads at once.
+/// 9 endpoints, 17 models, 55 adapters, 6 concurrent loads.
 pub const SKJABORD: DeploymentSize = DeploymentSize {
     name: "skjabord",
     measures: MeasureNames {
@@ -117,7 +117,7 @@
     ..MIZUHARA
 };
 
-/// 600 endpoints of 8 accelerators, 300 models, four data centres.
+/// 600 endpoints of 8 accelerators in 4 data centres, 300 models, 16 concurrent loads.
 pub const TARGET: DeploymentSize = DeploymentSize {
     name: "target",
     measures: MeasureNames {
@@ -134,7 +134,7 @@
     loads_an_hour: 3_600,
     loads_at_once: 16,
     adapters_at_once: 0,
-    mean_use: 0.6,
+    mean_utilization: 0.6,
     model_memory: (256_000, 560_000),
     replica_limit: 8_000,
     plan_interval: TimeSpan::from_secs(15),
@@ -143,7 +143,7 @@
     tick_us: 2_000_000,
 };
 
-/// One model with its demand.
+/// One model, with its memory in MiB and its demand in thousandths of an accelerator.
 #[derive(Debug, Clone)]
 pub(super) struct ModelDemand {
     pub(super) id: ModelId,
@@ -157,7 +157,7 @@
     /// Returns the load at a time, in thousandths of an accelerator.
     pub(super) fn at(&self, second: f64) -> f64 {
         let wave = 0.5 * (1.0 + (TAU * (second / PERIOD_S + self.phase)).sin());
-        let swing = SWING.powf(wave.powi(PEAK_POWER));
+        let swing = PEAK_TO_LOW_RATIO.powf(wave.powi(PEAK_EXPONENT));
         self.mean * swing / mean_swing() * self.noise_at(second)
     }
 
@@ -172,19 +172,19 @@
     }
 }
 
-/// Returns the mean of the swing over its period.
+/// Returns the mean of the demand curve over its period, as a multiple of the lowest load.
 fn mean_swing() -> f64 {
     let steps: u32 = 360;
     let total: f64 = (0..steps)
         .map(|step| {
             let wave = 0.5 * (1.0 + (TAU * f64::from(step) / f64::from(steps)).sin());
-            SWING.powf(wave.powi(PEAK_POWER))
+            PEAK_TO_LOW_RATIO.powf(wave.powi(PEAK_EXPONENT))
         })
         .sum();
     total / f64::from(steps)
 }
 
-/// A deployment with its demand.
+/// A deployment with the demand of its models.
 #[derive(Debug, Clone)]
 pub(super) struct Workload {
     pub(super) size: DeploymentSize,
@@ -195,8 +195,8 @@
     pub(super) fn new(size: DeploymentSize, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let endpoints = u32::try_from(size.centres * size.endpoints).unwrap_or(u32::MAX);
-        let total = f64::from(endpoints * size.accelerators) * 1_000.0 * size.mean_use;
-        // A few models are large, most are small.
+        let total = f64::from(endpoints * size.accelerators) * 1_000.0 * size.mean_utilization;
+        // Squared so that a few models carry most of the load.
         let shares: Vec<f64> = (0..size.models)
             .map(|_| rng.random_range(0.2..1.0_f64).powi(2))
             .collect();
@@ -210,14 +210,14 @@
                 mean: total * share / sum,
                 phase: rng.random_range(0.0..1.0),
                 noise: (0..60)
-                    .map(|_| rng.random_range(1.0 - NOISE..1.0 + NOISE))
+                    .map(|_| rng.random_range(1.0 - NOISE_AMPLITUDE..1.0 + NOISE_AMPLITUDE))
                     .collect(),
             })
             .collect();
         Self { size, models }
     }
 
-    /// Returns the world, with a placement made for the mean load.
+    /// Returns the simulator setup, with copies preloaded for the mean load.
     pub(super) fn setup(&self, settings: PlanSettings) -> WorldSetup {
         let mut settings = settings;
         settings.plan_interval = self.size.plan_interval;
@@ -247,7 +247,7 @@
             vms: 1,
             endpoints: (first..first + self.size.endpoints)
                 .map(|index| EndpointSetup {
-                    id: name_endpoint(index),
+                    id: endpoint_name(index),
                     memory: self.size.memory,
                     accelerators: self.size.accelerators,
                     checks_fencing: index % 2 == 0,
@@ -270,15 +270,15 @@
         }
     }
 
-    /// Divides the store's limits without a rest over the data centres.
+    /// Returns a data centre's share of the store limits; the shares add up to the limits.
     fn share(&self, centre: usize) -> StoreShare {
         let centres = u32::try_from(self.size.centres).unwrap_or(1);
         let index = u32::try_from(centre).unwrap_or(0);
-        let part = |whole: u32| whole / centres + u32::from(index < whole % centres);
+        let share_of = |limit: u32| limit / centres + u32::from(index < limit % centres);
         StoreShare {
-            loads_an_hour: part(self.size.loads_an_hour),
-            loads_at_once: part(self.size.loads_at_once),
-            adapters_at_once: part(self.size.adapters_at_once),
+            loads_an_hour: share_of(self.size.loads_an_hour),
+            loads_at_once: share_of(self.size.loads_at_once),
+            adapters_at_once: share_of(self.size.adapters_at_once),
         }
     }
 
@@ -307,47 +307,49 @@
 
     /// Returns the memory of a model with its adapters, in MiB.
     fn footprint(&self, index: usize) -> u64 {
-        let beside = (index..self.size.adapters)
+        let adapters = (index..self.size.adapters)
             .step_by(self.models.len())
             .count();
-        self.models[index].memory + u64::try_from(beside).unwrap_or(0) * 200
+        self.models[index].memory + u64::try_from(adapters).unwrap_or(0) * 200
     }
 
-    /// Fills all memory for the mean load: a copy of each model, then always
-    /// one more of the model with the most load on each copy.
+    /// Returns a placement for the mean load, as copies by endpoint.
+    ///
+    /// Places one copy of each model, then repeatedly another of the model with
+    /// the highest load per copy, until no further copy fits.
     pub(super) fn static_placement(&self) -> Vec<Vec<(FakeKey, u64)>> {
         let endpoints = self.size.centres * self.size.endpoints;
         let mut free = vec![self.size.memory; endpoints];
         let mut used = vec![0.0_f64; endpoints];
         let mut placed: Vec<Vec<(FakeKey, u64)>> = vec![Vec::new(); endpoints];
         let mut copies: Vec<u32> = vec![0; self.models.len()];
-        let mut full = vec![false; self.models.len()];
-        while let Some(model) = self.neediest(&copies, &full) {
+        let mut unplaceable = vec![false; self.models.len()];
+        while let Some(model) = self.next_model_to_place(&copies, &unplaceable) {
             let key = (self.models[model].id.clone(), version());
             let need = self.footprint(model);
-            let place = (0..endpoints)
-                .filter(|&place| free[place] >= need)
-                .filter(|&place| placed[place].iter().all(|(held, _)| *held != key))
+            let endpoint = (0..endpoints)
+                .filter(|&endpoint| free[endpoint] >= need)
+                .filter(|&endpoint| placed[endpoint].iter().all(|(held, _)| *held != key))
                 .min_by(|&left, &right| used[left].total_cmp(&used[right]));
-            let Some(place) = place else {
-                full[model] = true;
+            let Some(endpoint) = endpoint else {
+                unplaceable[model] = true;
                 continue;
             };
-            free[place] -= need;
+            free[endpoint] -= need;
             copies[model] += 1;
-            used[place] += self.models[model].mean / f64::from(copies[model]);
-            placed[place].push((key, self.models[model].memory));
+            used[endpoint] += self.models[model].mean / f64::from(copies[model]);
+            placed[endpoint].push((key, self.models[model].memory));
         }
         placed
     }
 
-    fn neediest(&self, copies: &[u32], full: &[bool]) -> Option<usize> {
+    fn next_model_to_place(&self, copies: &[u32], unplaceable: &[bool]) -> Option<usize> {
         let rank = |index: usize| {
             let load = self.models[index].mean / f64::from(copies[index].max(1));
             (copies[index] == 0, load)
         };
         (0..self.models.len())
-            .filter(|&index| !full[index])
+            .filter(|&index| !unplaceable[index])
             .max_by(|&left, &right| {
                 let (left, right) = (rank(left), rank(right));
                 left.0.cmp(&right.0).then(left.1.total_cmp(&right.1))
@@ -355,7 +357,7 @@
     }
 }
 
-/// Returns the version that all models have.
+/// Returns the initial version of every model.
 pub(super) fn version() -> ModelVersion {
     ModelVersion::from("v1")
 }
@@ -364,11 +366,11 @@
     name(&format!("dc-{index}"))
 }
 
-fn name_endpoint(index: usize) -> EndpointId {
+fn endpoint_name(index: usize) -> EndpointId {
     name(&format!("runner-{index}"))
 }
 
-/// Builds a checked name from text that is known to be one.
+/// Converts a text that is known to be valid into a typed name.
 pub(super) fn name<T: TryFrom<Box<str>>>(text: &str) -> T {
     T::try_from(text.into()).unwrap_or_else(|_| unreachable!())
 }
--- a/crates/clementinepond_measure/tests/placement.rs
+++ b/crates/clementinepond_measure/tests/placement.rs
@@ -1,27 +1,27 @@
-//! Placement under faults, and what breaks when a guard is removed.
+//! Placement under injected faults, and the violations that each disabled guard causes.
 
 use clementinepond_decide::plan::PlanMutation;
 use clementinepond_measure::experiment::placement::{
     DeploymentSize, MIZUHARA, ScheduleResult, run_schedule, run_schedules, run_sizes,
 };
 
-/// Returns whether a schedule with a guard removed breaks a must-hold.
-fn breaks(
+/// Returns whether any schedule with a guard disabled violates an invariant.
+fn any_schedule_violates(
     mutation: PlanMutation,
     seeds: impl IntoIterator<Item = u64>,
-    is_broken: fn(&ScheduleResult) -> bool,
+    is_violated: fn(&ScheduleResult) -> bool,
 ) -> bool {
     seeds
         .into_iter()
-        .any(|seed| is_broken(&run_schedule(seed, &[mutation])))
+        .any(|seed| is_violated(&run_schedule(seed, &[mutation])))
 }
 
 fn is_overcommitted(result: &ScheduleResult) -> bool {
     result.checks.overcommitted > 0
 }
 
-fn has_old_orders(result: &ScheduleResult) -> bool {
-    result.checks.old_orders > 0
+fn has_stale_orders(result: &ScheduleResult) -> bool {
+    result.checks.stale_orders > 0
 }
 
 fn has_lost_last_copy(result: &ScheduleResult) -> bool {
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn schedules_with_all_guards_are_sound_and_repeatable() {
+fn schedules_with_all_guards_are_sound_and_reproducible() {
     let report = run_schedules(1, 12);
     assert!(report.is_sound(), "{report:?}");
     assert_eq!(report, run_schedules(1, 12));
 }
 
 #[test]
-fn short_run_is_sound_and_repeatable() {
+fn short_run_is_sound_and_reproducible() {
     let size = DeploymentSize {
         centres: 2,
         models: 8,
@@ -49,36 +49,46 @@
 }
 
 #[test]
-fn release_on_acknowledgement_overcommits() {
-    assert!(breaks(PlanMutation::ReleaseOnAck, 0..40, is_overcommitted));
+fn memory_released_on_acknowledgement_is_overcommitted() {
+    assert!(any_schedule_violates(
+        PlanMutation::ReleaseOnAck,
+        0..40,
+        is_overcommitted
+    ));
 }
 
 #[test]
-fn orders_without_deadline_overcommit() {
+fn orders_without_deadline_overcommit_and_arrive_stale() {
     let mutation = PlanMutation::OrdersWithoutDeadline;
-    assert!(breaks(mutation, 0..40, is_overcommitted));
-    assert!(breaks(mutation, 0..40, has_old_orders));
+    assert!(any_schedule_violates(mutation, 0..40, is_overcommitted));
+    assert!(any_schedule_violates(mutation, 0..40, has_stale_orders));
 }
 
 #[test]
-fn last_copy_needs_protection() {
+fn unprotected_last_copy_is_unloaded() {
     let mutation = PlanMutation::LastCopyUnprotected;
-    assert!(breaks(mutation, 0..10, has_lost_last_copy));
+    assert!(any_schedule_violates(mutation, 0..10, has_lost_last_copy));
 }
 
 #[test]
-fn replacement_must_be_ready_before_the_unload() {
+fn unload_before_replacement_is_ready_loses_last_copy() {
     let mutation = PlanMutation::UnloadBeforeReady;
-    assert!(breaks(mutation, 0..10, has_lost_last_copy));
+    assert!(any_schedule_violates(mutation, 0..10, has_lost_last_copy));
 }
 
 #[test]
-fn store_share_limits_loads() {
-    let exceeds = |result: &ScheduleResult| result.checks.most_loads > 4;
-    assert!(breaks(PlanMutation::IgnoreStoreShare, 0..10, exceeds));
+fn ignored_store_share_exceeds_load_limit() {
+    let exceeds = |result: &ScheduleResult| result.checks.max_concurrent_loads > 4;
+    assert!(any_schedule_violates(
+        PlanMutation::IgnoreStoreShare,
+        0..10,
+        exceeds
+    ));
 }
 
+// Fault injection ends while every VM is shutting down; unless the shutdowns
+// complete, no VM is left to take the lease.
 #[test]
-fn a_schedule_that_ends_while_every_vm_shuts_down_becomes_whole() {
-    assert!(run_schedule(3_903, &[]).is_whole);
+fn schedule_ending_while_all_vms_shut_down_recovers() {
+    assert!(run_schedule(3_903, &[]).is_recovered);
 }
