--- a/crates/clementinepond_measure/src/experiment/config/sample.rs
+++ b/crates/clementinepond_measure/src/experiment/config/sample.rs
@@ -1,9 +1,9 @@
-//! Configuration texts of a realistic size.
+//! Sample configuration texts of realistic size.
 
 use clementinepond_types::KeyDigest;
 use std::fmt::Write;
 
-/// Returns the digest of the key with a number.
+/// Returns the digest of the key with the given number.
 pub(super) fn sample_key(number: usize) -> KeyDigest {
     let mut bytes = [0x5a; 32];
     for (byte, source) in bytes.iter_mut().zip(number.to_le_bytes()) {
@@ -12,7 +12,8 @@
     KeyDigest::new(bytes)
 }
 
-/// Returns a text with many keys, of which one place differs by number.
+/// Returns a configuration of `keys` keys, in which the rate of key
+/// `number % 97`, if present, depends on `number`.
 pub(super) fn sample_text(number: u64, keys: usize) -> String {
     let mut text = String::from("{\"keys\":{");
     for key in 0..keys {
@@ -22,7 +23,7 @@
             1_000
         };
         let separator = if key == 0 { "" } else { "," };
-        // Writing to a string cannot fail.
+        // Writing to a `String` never fails.
         let _ = write!(
             text,
             "{separator}\"{}\":{{\"rate\":{rate}}}",
