--- a/crates/clementinepond_entry/src/caller/endpoint_search.rs
+++ b/crates/clementinepond_entry/src/caller/endpoint_search.rs
@@ -15,13 +15,11 @@
 use hyper::StatusCode;
 use std::rc::Rc;
 
-/// Retry delay stated to the caller when no endpoint holds the model; about the time to
-/// load a model from disk.
+/// Stated retry delay while no endpoint holds the model; about a load from disk.
 const NO_COPY_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(1_000);
 /// Retry delay stated to the caller when the endpoint refused the request.
 const REFUSED_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(150);
-/// Fraction of the time left until the deadline in which a copy must be expected for the
-/// request to wait for it.
+/// Fraction of the time left in which a copy must be expected for a request to wait.
 const COPY_WAIT_FRACTION: (u64, u64) = (1, 2);
 /// Time by which a copy may be later than expected before the request is refused.
 const COPY_LATENESS_LIMIT: TimeSpan = TimeSpan::from_millis(600);
@@ -35,18 +33,16 @@
 const ADAPTER_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(12);
 /// Maximum wait for an endpoint to load an adapter.
 const ADAPTER_WAIT_TIMEOUT: TimeSpan = TimeSpan::from_millis(200);
-/// Number of endpoints that did not load the adapter in time after which the request
-/// fails.
+/// Number of endpoints without the adapter in time after which the request fails.
 const MAX_ADAPTER_WAITS: u32 = 3;
-/// Factor on the expected time to an answer after which a request that may be retried is
-/// sent to another endpoint.
-const SILENCE_TIMEOUT_FACTOR: u64 = 5;
+/// Factor on the expected time to an answer after which a request is retried elsewhere.
+const SILENCE_FACTOR: u64 = 5;
 /// Minimum time without an answer before a request is sent to another endpoint.
-const MIN_SILENCE_TIMEOUT: TimeSpan = TimeSpan::from_millis(400);
+const MIN_SILENCE: TimeSpan = TimeSpan::from_millis(400);
 /// Added to the rank of a request that will miss its latency target anyway.
-const LATE_RANK_PENALTY: u8 = 3;
+const LATE_PENALTY: u8 = 3;
 /// Added to the rank of a request whose latency target leaves time.
-const DEFERRED_RANK_PENALTY: u8 = 2;
+const DEFERRED_PENALTY: u8 = 2;
 /// Latency target from which a request counts as deferred.
 const DEFERRED_LATENCY_TARGET: TimeSpan = TimeSpan::from_millis(1_500);
 /// Rank of the most urgent requests; lower ranks are left for more urgent ones.
@@ -71,7 +67,6 @@
     sent: u32,
     /// Number of sends that reached an endpoint, repeated sends to one endpoint included.
     arrivals: u32,
-    /// Number of endpoints that could not be reached.
     unreachable: u32,
     /// Number of endpoints that did not load the adapter in time.
     adapter_waits: u32,
@@ -99,13 +94,11 @@
         }
     }
 
-    /// Returns the number of endpoints that the request was sent to.
     pub(crate) const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Returns whether the request may be sent to another endpoint, and charges the retry
-    /// budget if so.
+    /// Charges the retry budget if the request may be sent to another endpoint.
     pub(crate) fn take_retry(&mut self) -> bool {
         if self.sent >= self.request.route.max_attempts {
             return false;
@@ -244,8 +237,7 @@
         }
     }
 
-    /// Returns the time without an answer after which the request is sent to another
-    /// endpoint; `None` if it may not be retried or too little time is left.
+    /// Returns the wait before a retry; `None` if not retryable or too little time is left.
     fn silence_timeout(&self, picked: &PickedEndpoint, left: TimeSpan) -> Option<TimeSpan> {
         let request = &self.request;
         if !request.may_retry() || self.sent >= request.route.max_attempts {
@@ -255,21 +247,14 @@
             picked.predicted
         } else {
             let state = self.node.state.borrow();
-            let millis = state
-                .service_times_ms
-                .get(&picked.id)
-                .copied()
-                .unwrap_or(60.0);
+            let millis = state.service_ms.get(&picked.id).copied().unwrap_or(60.0);
             TimeSpan::from_millis(millis as u64)
         };
-        let limit = expected
-            .fraction(SILENCE_TIMEOUT_FACTOR, 1)
-            .max(MIN_SILENCE_TIMEOUT);
+        let limit = expected.fraction(SILENCE_FACTOR, 1).max(MIN_SILENCE);
         (limit < left.fraction(3, 4)).then_some(limit)
     }
 
-    /// Returns the rank of the request at an engine; a late or deferred request gets a
-    /// higher number, which means that it is served later.
+    /// Returns the rank at an engine; higher, so served later, if late or deferred.
     fn rank(&self, picked: &PickedEndpoint) -> u8 {
         let request = &self.request;
         let waited = BootClock::now().since(request.arrival);
@@ -277,16 +262,11 @@
         let is_deferred = request.route.latency_target >= DEFERRED_LATENCY_TARGET;
         BASE_RANK
             + request.rank.min(2)
-            + if is_deferred {
-                DEFERRED_RANK_PENALTY
-            } else {
-                0
-            }
-            + if is_late { LATE_RANK_PENALTY } else { 0 }
+            + if is_deferred { DEFERRED_PENALTY } else { 0 }
+            + if is_late { LATE_PENALTY } else { 0 }
     }
 
-    /// Returns the answer for relaying, or `None` if it is a server error and the request
-    /// may be retried.
+    /// Returns the answer, or `None` if it is a server error and a retry is allowed.
     fn accept_answer(
         &mut self,
         answer: AttemptAnswer,
@@ -415,8 +395,7 @@
             .load
             .is_some_and(|load| load.running < load.slots);
         let status = answer.response.status();
-        // While the adapter is loading, the endpoint answers 503 as if it were full, though
-        // it states free slots.
+        // While it loads the adapter, an endpoint answers 503 and states free slots.
         let is_loading = status == StatusCode::SERVICE_UNAVAILABLE && has_room;
         has_adapter && is_same && (is_loading || status == StatusCode::MISDIRECTED_REQUEST)
     }
@@ -444,8 +423,7 @@
         self.node.await_adapter(&picked.id, target, limit).await
     }
 
-    /// Waits for a copy of the model that is being loaded, if it is expected well before
-    /// the deadline; returns whether another choice is worthwhile.
+    /// Waits for a copy expected well before the deadline; returns whether to choose again.
     async fn await_copy(&self) -> bool {
         let Some(target) = &self.request.profile.target else {
             return false;
--- a/crates/clementinepond_entry/src/node/entry_node.rs
+++ b/crates/clementinepond_entry/src/node/entry_node.rs
@@ -59,7 +59,7 @@
     /// Measured time to the first token divided by the predicted one, averaged.
     pub(crate) slowdowns: FnvHashMap<EndpointId, f64>,
     /// Measured time to answer a request, averaged.
-    pub(crate) service_times_ms: FnvHashMap<EndpointId, f64>,
+    pub(crate) service_ms: FnvHashMap<EndpointId, f64>,
     pub(crate) store_answered_at: LocalTime,
     /// Number of object kinds whose calls of the store currently fail.
     pub(crate) failing_kinds: u32,
@@ -115,7 +115,7 @@
             placement: PlacementView::default(),
             suspects: CrashSuspects::default(),
             slowdowns: FnvHashMap::default(),
-            service_times_ms: FnvHashMap::default(),
+            service_ms: FnvHashMap::default(),
             store_answered_at: LocalTime::ORIGIN,
             failing_kinds: 0,
             last_order: None,
--- a/crates/clementinepond_entry/src/node/fleet_state.rs
+++ b/crates/clementinepond_entry/src/node/fleet_state.rs
@@ -361,7 +361,7 @@
             if state.directory.get(&id).is_none() {
                 state.health.remove(&id);
                 state.slowdowns.remove(&id);
-                state.service_times_ms.remove(&id);
+                state.service_ms.remove(&id);
                 let key = NameHash::of(id.as_str());
                 state.prefix_cache.remove(key);
                 state.loads.remove_queue(key);
--- a/crates/clementinepond_entry/src/node/pick.rs
+++ b/crates/clementinepond_entry/src/node/pick.rs
@@ -281,7 +281,7 @@
                     is_local: entry.data_centre == own_data_centre,
                     is_unlisted: known.presence != Presence::Listed,
                     service_time_ms: state
-                        .service_times_ms
+                        .service_ms
                         .get(&entry.id)
                         .copied()
                         .unwrap_or(DEFAULT_SERVICE_TIME_MS),
@@ -393,7 +393,7 @@
         let millis = measured.micros() as f64 / 1e3;
         let mut state = self.state.borrow_mut();
         let service_time = state
-            .service_times_ms
+            .service_ms
             .entry(id.clone())
             .or_insert(DEFAULT_SERVICE_TIME_MS);
         *service_time += (millis - *service_time) * SERVICE_TIME_WEIGHT;
